--- /dev/null
+++ b/tests/sim/exchanges.py
@@ -0,0 +1,42 @@
+"""Keeps every request of a play and its answer, as they went over the simulated network."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+
+from spurarch.transport.http import Request, Response
+from tests.sim.scenario import Play
+
+
+@dataclass(frozen=True)
+class Exchange:
+    """One request, and what was answered."""
+
+    source: str
+    address: str
+    line: str
+    body: bytes
+    status: int
+    answer: bytes
+
+
+def record_exchanges(play: Play) -> list[Exchange]:
+    """The list that every exchange of a play, which has not begun yet, will be added to."""
+    exchanges: list[Exchange] = []
+    carry = play.wire.request
+
+    async def record(source: str, address: str, request: Request, timeout_s: float) -> Response:
+        response = await carry(source, address, request, timeout_s)
+        line = f"{request.method} {request.target}"
+        exchanges.append(Exchange(source, address, line, request.body, response.status, response.body))
+        return response
+
+    play.wire.request = record  # type: ignore[method-assign]
+    return exchanges
+
+
+def without_chance(raw: bytes) -> bytes:
+    """Names of processes and times of day, which differ between plays, are put as BOOT and MOMENT."""
+    raw = re.sub(rb"[0-9a-f]{16}", b"BOOT", raw)
+    return re.sub(rb'"(at|cancelled_at)":17000[0-9]+\.[0-9]+', rb'"\1":MOMENT', raw)
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+import re
+import socket
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -15,8 +17,9 @@
 from spurarch.protocol.wire import Report, TaskReport
 from spurarch.recovery.collector import ReportCollector
 from spurarch.recovery.launch import controller_with_recovery
-from spurarch.transport.http import Handler, Request, Response
+from spurarch.transport.http import Handler, HttpServer, Request, Response
 from spurarch.transport.http_messages import MessageError, RequestParser, error_response, render_response
+from tests.sim.loopback import free_addresses
 from tests.sim.net import SimNetwork
 from tests.sim.scenario import STATE, Play
 from tests.sim.scenario_text import Scenario
@@ -623,3 +626,132 @@
     with pytest.raises(MessageError) as refused:
         parser.feed(raw)
     assert render_response(refused.value.response, close=True) == sent
+
+
+@pytest.mark.parametrize(
+    ("raw", "sent"),
+    [
+        (
+            b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n",
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
+            b"Retry-After: 1\r\n\r\n{}",
+        ),
+        (
+            b"GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
+            b"Retry-After: 1\r\nConnection: close\r\n\r\n{}",
+        ),
+        (
+            b"HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n",
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
+            b"Retry-After: 1\r\n\r\n",
+        ),
+        (
+            b"GET /boom HTTP/1.1\r\nHost: a\r\n\r\n",
+            b"HTTP/1.1 500 Internal Server Error\r\nContent-Type: application/json\r\nContent-Length: 26\r\n\r\n"
+            b'{"error":"internal error"}',
+        ),
+        (
+            b"GET /x HTTP/1.1\r\nHost: a\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\nContent-Length: 30\r\n"
+            b'Connection: close\r\n\r\n{"error":"incomplete request"}',
+        ),
+        (
+            b"nonsense\r\n\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\nContent-Length: 29\r\n"
+            b'Connection: close\r\n\r\n{"error":"malformed request"}',
+        ),
+        (
+            b"POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
+            b"HTTP/1.1 100 Continue\r\n\r\n",
+        ),
+    ],
+    ids=["answered", "closed", "head-only", "handler-fails", "incomplete", "malformed", "continue"],
+)
+def test_the_server_answers_with_exactly_these_bytes(raw: bytes, sent: bytes) -> None:
+    async def handler(request: Request) -> Response:
+        if request.target == "/boom":
+            raise RuntimeError("boom")
+        return Response(503, b"{}", [("Retry-After", "1")])
+
+    async def main() -> bytes:
+        [address] = free_addresses(1)
+        server = await curio.spawn(HttpServer(address, handler, 10).run)
+        await curio.sleep(0)
+        host, port = address.split(":")
+        async with await curio.open_connection(host, int(port)) as client:
+            await client.sendall(raw)
+            if b"Host: a\r\n\r\n" not in raw and b"Expect" not in raw:
+                await client.shutdown(socket.SHUT_WR)
+            received = b""
+            while len(received) < len(sent):
+                data: bytes = await client.recv(1000)
+                if not data:
+                    break
+                received += data
+        await server.cancel()
+        return received
+
+    assert curio.run(main) == sent
+
+
+# Peers
+
+
+@pytest.mark.parametrize(
+    ("frame", "answer"),
+    [
+        (b"\x91\xa4wake", b"\x91\xa4wake"),
+        (b"\x92\xa9cancelled\x91\xa5job-1", b"\x91\xa4wake"),
+        (b"\x97\xa4load\xa2n1\xcb\x40\x08\x00\x00\x00\x00\x00\x00\xc3\x90\x90\x00", b"\x91\xa4wake"),
+        (b"\x92\xaaunheard-of\x01", b"\x91\xa4wake"),
+        (b"nonsense", b"\x91\xa4wake"),
+        (b"\x92\xa9revision?\xa2n1", b"\x91\xa4wake"),
+        (
+            b"\x92\xa4ping\xa2n1",
+            b"\x98\xa4pong\xa2n0\xb0BOOTBOOTBOOTBOOT\xc3\x90\x91\x93\xa1a\xa2n0\x02"
+            b"\xcb\x00\x00\x00\x00\x00\x00\x00\x00\xcb\x00\x00\x00\x00\x00\x00\x00\x00",
+        ),
+    ],
+    ids=["wake", "cancelled", "load", "unknown", "nonsense", "recovery", "ping"],
+)
+def test_a_peer_gets_exactly_this_answer(frame: bytes, answer: bytes) -> None:
+    answers: list[bytes] = []
+
+    async def story(site: Site) -> None:
+        got = await site.controllers["n0"].on_frame(frame)
+        # The process's name is random, and the two ages at the end of a pong depend on the moment.
+        got = re.sub(rb"\xb0[0-9a-f]{16}", b"\xb0BOOTBOOTBOOTBOOT", got)
+        answers.append(got[:-18] + answer[-18:] if frame.startswith(b"\x92\xa4ping") else got)
+
+    tell(story, "controllers 1\nzones a")
+
+    assert answers == [answer]
+
+
+def test_a_peer_with_recovery_tells_its_revision_and_its_copy() -> None:
+    answers: list[bytes | None] = []
+
+    async def story(site: Site) -> None:
+        site.put("history/current", {"name": "01ab", "number": 1})
+        site.put("history/open/01ab", {"number": 1})
+        site.tuning.recovery = True
+        network = SimNetwork(site.wire, "n0")
+        controller = controller_with_recovery(site.platform(0), site.tuning, network, "00ff")
+        await curio.spawn(controller.run, daemon=True)
+        await curio.sleep(4.0)
+        for frame in (
+            b"\x92\xa9revision?\xa2n1",
+            b"\x94\xa9evidence?\xa2n1\xa401ab\x00",
+            b"\x94\xa8reports?\xa2n1\x28\x00",
+        ):
+            answers.append(await controller.on_frame(frame))
+
+    site = Site("controllers 1\nzones a", story, 0.0, started=False)
+    site.run()
+
+    assert answers == [
+        b"\x95\xa8revision\xa2n0\xa401ab\x01\x06",
+        b"\x9a\xa8evidence\xa2n0\xa400ff\xa401ab\xc2\xc3\x02\x06\x90\x00",
+        b"\x94\xa7reports\x90\x00\x00",
+    ]
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -144,7 +144,8 @@
         (
             b'{"ref":"job-1","circuit":"","crew":"t","gait":"daemon","precedence":"production","legs":1,'
             b'"vcpus":1,"gpus":0,"memory_gb":1,"kit":"i","pull_gb":0,"district":"b",'
-            b'"together":false,"spread":true,"lendable":false,"reckon_s":0,"waypoint_s":0,"stow_s":0,"later":{"x":[1]}}',
+            b'"together":false,"spread":true,"lendable":false,"reckon_s":0,"waypoint_s":0,"stow_s":0,'
+            b'"later":{"x":[1]}}',
             Submission(
                 "job-1",
                 "",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,11 +26,12 @@
 }
 FROZEN_MEMBER = b'{"node":"n0","boot":"x","area":"a","unfit":["b"],"dark":[]}'
 FROZEN_MESSAGES = [
-    peer_messages.encode(("wake",)),
-    peer_messages.encode(("ping", "n0")),
-    peer_messages.encode(("pong", "n0", "x", True, ["job-1"], [("a", "n0", 3)], 0.5, 9.0)),
-    peer_messages.encode(("cancelled", ["job-1"])),
-    peer_messages.encode(("load", "n0", 3.0, True, [("a", 2)], ["vm-000001"])),
+    b"\x91\xa4wake",
+    b"\x92\xa4ping\xa2n0",
+    b"\x98\xa4pong\xa2n0\xa1x\xc3\x91\xa5job-1\x91\x93\xa1a\xa2n0\x03"
+    b"\xcb\x3f\xe0\x00\x00\x00\x00\x00\x00\xcb\x40\x22\x00\x00\x00\x00\x00\x00",
+    b"\x92\xa9cancelled\x91\xa5job-1",
+    b"\x96\xa4load\xa2n0\xcb\x40\x08\x00\x00\x00\x00\x00\x00\xc3\x91\x92\xa1a\x02\x91\xa9vm-000001",
 ]
 
 
@@ -85,9 +86,7 @@
     assert msgspec.msgpack.decode(frame, type=EarlierLoad) == EarlierLoad("n0", 3.0, True, [("a", 2)], ["vm-000001"])
 
 
-@pytest.mark.parametrize(
-    "frame", [peer_messages.encode(("unheard-of", 1)), b"", b"\xc1", peer_messages.encode(("load",))]
-)
+@pytest.mark.parametrize("frame", [b"\x92\xaaunheard-of\x01", b"", b"\xc1", b"\x91\xa4load"])
 def test_unknown_messages_are_passed_over(frame: bytes) -> None:
     assert peer_messages.decode(frame) is None
 
