--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,12 +1,16 @@
 """Tests that are known to fail: `KNOWN-RED.txt` at the root, a line each with test, cause and issue.
 
 They still run, and have to fail: one that passes, or that is not found, or a list that is too long, fails the whole run.
+With pytest-xdist, each worker process marks the listed tests, and the process that starts the workers does the rest: only
+an error that it raises itself ends the run with a message, and only it prints.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -46,12 +50,25 @@
         self.listed = parse(path.read_text()) if path.exists() else []
 
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
-        """Marks the listed tests; a selection of tests by hand need not hold them all."""
+        """Marks the listed tests."""
         for red in self.listed:
-            found = [item for item in items if item.nodeid == red.test]
-            for item in found:
-                item.add_marker(pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})", strict=True))
-            if not found and not config.option.keyword and not any("::" in arg for arg in config.args):
+            for item in items:
+                if item.nodeid == red.test:
+                    item.add_marker(pytest.mark.xfail(reason=f"{red.cause} (issue {red.issue})", strict=True))
+        if not hasattr(config, "workerinput"):
+            self._check_all_collected(config, [item.nodeid for item in items])
+
+    @pytest.hookimpl(optionalhook=True)  # there without pytest-xdist, too
+    def pytest_xdist_node_collection_finished(self, node: Any, ids: Sequence[str]) -> None:
+        """Looks at what a worker process has collected."""
+        self._check_all_collected(node.config, ids)
+
+    def _check_all_collected(self, config: pytest.Config, collected: Sequence[str]) -> None:
+        """Refuses a list with unknown tests; a selection of tests by hand need not hold them all."""
+        if config.option.keyword or any("::" in arg for arg in config.args):
+            return
+        for red in self.listed:
+            if red.test not in collected:
                 raise pytest.UsageError(f"{FILE}: no such test: {red.test}")
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,38 +4,62 @@
 
 import pytest
 
-from tests.known_red import FILE, KnownRedPlugin
+from tests.inner_run import InnerRun
+from tests.known_red import FILE, parse
 
 TESTS = "def test_bad():\n    assert False\n\ndef test_good():\n    pass\n"
 
 
-def play(pytester: pytest.Pytester, listed: str) -> pytest.RunResult:
-    pytester.makepyfile(test_it=TESTS)
-    (pytester.path / FILE).write_text(listed)
-    return pytester.runpytest_inprocess("-p", "no:cacheprovider", plugins=[KnownRedPlugin(pytester.path)])
+def play(inner_run: InnerRun, listed: str, *words: str) -> pytest.RunResult:
+    (inner_run.path / FILE).write_text(listed)
+    return inner_run.play(TESTS, *words)
 
 
-def test_a_listed_test_is_passed_over_and_printed(pytester: pytest.Pytester) -> None:
-    result = play(pytester, "test_it.py::test_bad; the cause; 7\n")
+def test_a_listed_test_is_passed_over_and_printed_once(inner_run: InnerRun) -> None:
+    result = play(inner_run, "test_it.py::test_bad; the cause; 7\n")
     result.assert_outcomes(passed=1, xfailed=1)
     assert result.ret == 0
-    result.stdout.fnmatch_lines(["KNOWN RED: test_it.py::test_bad: the cause (issue 7)"])
+    assert result.outlines.count("KNOWN RED: test_it.py::test_bad: the cause (issue 7)") == 1
 
 
-def test_a_test_that_is_not_listed_fails_the_run(pytester: pytest.Pytester) -> None:
-    assert play(pytester, "").ret == pytest.ExitCode.TESTS_FAILED
+def test_a_test_that_is_not_listed_fails_the_run(inner_run: InnerRun) -> None:
+    result = play(inner_run, "")
+    result.assert_outcomes(passed=1, failed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_a_listed_test_that_passes_fails_the_run(pytester: pytest.Pytester) -> None:
-    result = play(pytester, "test_it.py::test_bad; c; 7\ntest_it.py::test_good; c; 7\n")
+def test_a_listed_test_that_passes_fails_the_run(inner_run: InnerRun) -> None:
+    result = play(inner_run, "test_it.py::test_bad; c; 7\ntest_it.py::test_good; the cause; 7\n")
     result.assert_outcomes(failed=1, xfailed=1)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.stdout.fnmatch_lines(["*XPASS(strict)* the cause (issue 7)"])
 
 
-def test_an_unknown_test_fails_the_run(pytester: pytest.Pytester) -> None:
-    assert play(pytester, "test_it.py::test_none; c; 7\n").ret == pytest.ExitCode.USAGE_ERROR
+def test_an_unknown_test_fails_the_run(inner_run: InnerRun) -> None:
+    result = play(inner_run, "test_it.py::test_none; c; 7\n")
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    assert f"ERROR: {FILE}: no such test: test_it.py::test_none" in result.errlines
+    result.assert_outcomes()
 
 
-@pytest.mark.parametrize("listed", ["a; c; 1\nb; c; 1\nc; c; 1\nd; c; 1\n", "a; c\n", "a; ; 1\n"])
-def test_a_list_that_is_too_long_or_incomplete_is_refused(pytester: pytest.Pytester, listed: str) -> None:
+def test_a_selection_by_hand_need_not_hold_the_listed_tests(inner_run: InnerRun) -> None:
+    result = play(inner_run, "test_it.py::test_bad; c; 7\n", "test_it.py::test_good")
+    result.assert_outcomes(passed=1)
+    assert result.ret == 0
+
+
+@pytest.mark.parametrize(
+    ("listed", "message"),
+    [
+        ("a; c; 1\nb; c; 1\nc; c; 1\nd; c; 1\n", "4 tests, at most 3 may be listed"),
+        ("a; c\n", "expected `test; cause; issue`, got 'a; c'"),
+        ("a; ; 1\n", "expected `test; cause; issue`, got 'a; ; 1'"),
+    ],
+)
+def test_a_list_that_is_too_long_or_incomplete_is_refused(inner_run: InnerRun, listed: str, message: str) -> None:
     with pytest.raises(pytest.UsageError):
-        play(pytester, listed)
+        parse(listed)
+    result = play(inner_run, listed)
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    assert f"ERROR: {FILE}: {message}" in result.errlines
+    assert "passed" not in str(result.stdout), "no test was played"
