--- a/tests/test_external_contract_commands.py
+++ b/tests/test_external_contract_commands.py
@@ -13,7 +13,7 @@
 import pytest
 
 from spurarch import cli
-from tests.sim.loopback import free_addresses
+from tests.sim.addresses import ReservedAddresses
 from tests.test_external_contract_settings import SHORT_PLATFORM
 
 ROOT = Path(__file__).parent.parent
@@ -194,9 +194,9 @@
 
 def test_a_controller_whose_address_is_taken_ends_with_1_and_says_so(tmp_path: Path) -> None:
     file = tmp_path / "p.toml"
-    with serving({}) as taken:
+    with serving({}) as taken, ReservedAddresses() as addresses:
         file.write_text(
-            SHORT_PLATFORM.replace("127.0.0.1:1", taken.address).replace("127.0.0.1:2", free_addresses(1)[0])
+            SHORT_PLATFORM.replace("127.0.0.1:1", taken.address).replace("127.0.0.1:2", addresses.reserve())
         )
         ended = subprocess.run(
             [*PROGRAM, "--config", str(file)], cwd=ROOT, capture_output=True, timeout=60, check=False
@@ -207,9 +207,9 @@
 
 def test_a_controller_with_scarce_limits_says_so_on_its_first_line(tmp_path: Path) -> None:
     file = tmp_path / "p.toml"
-    with serving({}) as taken:
+    with serving({}) as taken, ReservedAddresses() as addresses:
         file.write_text(
-            SHORT_PLATFORM.replace("127.0.0.1:1", taken.address).replace("127.0.0.1:2", free_addresses(1)[0])
+            SHORT_PLATFORM.replace("127.0.0.1:1", taken.address).replace("127.0.0.1:2", addresses.reserve())
             + "[deployment.limits]\ncpu = 0.05\nmem_mb = 32.0\nfd_limit = 100\n"
         )
         ended = subprocess.run(
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -19,7 +19,7 @@
 from spurarch.recovery.launch import controller_with_recovery
 from spurarch.transport.http import Handler, HttpServer, Request, Response
 from spurarch.transport.http_messages import MessageError, RequestParser, error_response, render_response
-from tests.sim.loopback import free_addresses
+from tests.sim.addresses import ReservedAddresses
 from tests.sim.net import SimNetwork
 from tests.sim.scenario import STATE, Play
 from tests.sim.scenario_text import Scenario
@@ -674,8 +674,7 @@
             raise RuntimeError("boom")
         return Response(503, b"{}", [("Retry-After", "1")])
 
-    async def main() -> bytes:
-        [address] = free_addresses(1)
+    async def main(address: str) -> bytes:
         server = await curio.spawn(HttpServer(address, handler, 10).run)
         await curio.sleep(0)
         host, port = address.split(":")
@@ -692,7 +691,8 @@
         await server.cancel()
         return received
 
-    assert curio.run(main) == sent
+    with ReservedAddresses() as addresses:
+        assert curio.run(main, addresses.reserve()) == sent
 
 
 # Peers
