--- a/spurarch/archive/directory.py
+++ b/spurarch/archive/directory.py
@@ -134,9 +134,7 @@
 
     def __init__(self, root: Path, point: Point) -> None:
         directory = history_directory(root, point.number, point.history)
-        self.path = _create(
-            directory, FileHeader(FileKind.LOG, point.history, point.number, point.revision), []
-        )  # fmt: skip
+        self.path = _create(directory, FileHeader(FileKind.LOG, point.history, point.number, point.revision), [])
         self.bytes = self.path.stat().st_size
 
     def append(self, entries: list[Entry], revision: int) -> None:
@@ -199,9 +197,8 @@
     """The records of a history at its newest point, or the newest up to a revision."""
     found = files(directory)
     snapshots = [
-        f for f in found
-        if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
-    ]  # fmt: skip
+        f for f in found if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
+    ]
     if not snapshots:
         raise EmptyArchiveError(f"{directory.name}: no snapshot up to revision {revision}")
     newest = snapshots[-1]
--- a/spurarch/archive/format.py
+++ b/spurarch/archive/format.py
@@ -20,8 +20,13 @@
 CODEC = "zstandard"
 BLOCK_BYTES_MOST = 1 << 30  # a batch is one block, so that a torn one leaves nothing of it behind
 META_SCHEMA, META_HISTORY, META_NUMBER, META_REVISION, META_KIND, META_COUNT = (
-    "spurarch.schema", "spurarch.history", "spurarch.number", "spurarch.revision", "spurarch.kind", "spurarch.count",
-)  # fmt: skip
+    "spurarch.schema",
+    "spurarch.history",
+    "spurarch.number",
+    "spurarch.revision",
+    "spurarch.kind",
+    "spurarch.count",
+)
 SCHEMA: dict[str, Any] = {
     "type": "record",
     "name": "Entry",
@@ -79,9 +84,13 @@
     def metadata(self) -> dict[str, str]:
         """The header as Avro keeps it."""
         return {
-            META_SCHEMA: str(SCHEMA_VERSION), META_HISTORY: self.history, META_NUMBER: str(self.number),
-            META_REVISION: str(self.revision), META_KIND: self.kind.value, META_COUNT: str(self.count),
-        }  # fmt: skip
+            META_SCHEMA: str(SCHEMA_VERSION),
+            META_HISTORY: self.history,
+            META_NUMBER: str(self.number),
+            META_REVISION: str(self.revision),
+            META_KIND: self.kind.value,
+            META_COUNT: str(self.count),
+        }
 
 
 def mark(revision: int) -> Entry:
@@ -143,9 +152,12 @@
         if version > SCHEMA_VERSION:
             raise DamagedFileError(f"{path.name}: schema {version}, this version reads up to {SCHEMA_VERSION}")
         return FileHeader(
-            FileKind(meta[META_KIND]), meta[META_HISTORY], int(meta[META_NUMBER]), int(meta[META_REVISION]),
+            FileKind(meta[META_KIND]),
+            meta[META_HISTORY],
+            int(meta[META_NUMBER]),
+            int(meta[META_REVISION]),
             int(meta[META_COUNT]),
-        )  # fmt: skip
+        )
     except (KeyError, ValueError):
         raise DamagedFileError(f"{path.name}: not a file of the archive") from None
 
--- a/spurarch/coordination/admission.py
+++ b/spurarch/coordination/admission.py
@@ -63,9 +63,14 @@
     """
 
     def __init__(
-        self, view: FleetView, now: float, ahead_s: float = 0.0, longest_wait_s: float = float("inf"),
-        booting: Iterable[Room] = (), piece: int = 1,
-    ) -> None:  # fmt: skip
+        self,
+        view: FleetView,
+        now: float,
+        ahead_s: float = 0.0,
+        longest_wait_s: float = float("inf"),
+        booting: Iterable[Room] = (),
+        piece: int = 1,
+    ) -> None:
         self.view, self.now, self.piece = view, now, piece
         closed = set(map(view.zones.index, view.dark()))
         self._coming: dict[int, list[Room]] = defaultdict(list)  # by zone, machines that boot
@@ -354,9 +359,10 @@
     def _replica_room(self, job: JobView, home: int | None, in_zone: dict[int, int]) -> Room | None:
         need, limit = job.need, job.spread_limit
         open_to = [
-            z for z in self.view.zone_rooms
+            z
+            for z in self.view.zone_rooms
             if (home is None or z == home) and (limit is None or in_zone.get(z, 0) < limit)
-        ]  # fmt: skip
+        ]
         room: Room | None = None
         level: list[int] = []
         for level in _levels(open_to, in_zone):
@@ -432,10 +438,12 @@
     def _gang_ahead(self, job: JobView, count: int) -> int | None:
         """The zone that frees room soonest for its queue, among those where no gang waits yet."""
         able = [
-            zone for zone in self._zones_for(job.need)
-            if zone not in self._gangs_waiting and self._ahead.get(zone, 0.0) > 0
+            zone
+            for zone in self._zones_for(job.need)
+            if zone not in self._gangs_waiting
+            and self._ahead.get(zone, 0.0) > 0
             and sum(room.slots_without_arrays(job.need, count) for room in self.rooms if room.zone == zone) >= count
-        ]  # fmt: skip
+        ]
         return max(able, key=lambda zone: (self._ahead[zone] - self._queue[zone], -zone), default=None)
 
     def _short(self, plan: Plan, job: JobView, count: int) -> None:
--- a/spurarch/coordination/admission_writer.py
+++ b/spurarch/coordination/admission_writer.py
@@ -63,9 +63,13 @@
     """Turns grants into transactions that guard the leader's record, the jobs and their counts."""
 
     def __init__(
-        self, replica: Replica, membership: Membership, view: FleetView, limits: StateLimits,
+        self,
+        replica: Replica,
+        membership: Membership,
+        view: FleetView,
+        limits: StateLimits,
         wake: Callable[[], Awaitable[None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.replica, self.membership, self.view = replica, membership, view
         self._wake = wake
         self._admitting = False  # arrays, in a transaction that is under way
@@ -229,10 +233,16 @@
         if log.isEnabledFor(level):
             team = self.view.jobs[change.job].team
             log.log(
-                level, "%s %d tasks of %s: term %d, revision %d, team %s: %s",
-                "admitting" if admitted else "not admitting", change.tasks, change.job, term,
-                self.replica.state.revision, self.view.teams.name(team), self.view.ledger.describe(team),
-            )  # fmt: skip
+                level,
+                "%s %d tasks of %s: term %d, revision %d, team %s: %s",
+                "admitting" if admitted else "not admitting",
+                change.tasks,
+                change.job,
+                term,
+                self.replica.state.revision,
+                self.view.teams.name(team),
+                self.view.ledger.describe(team),
+            )
 
     def _settle(self, reservations: list[Reservation], outcome: Outcome) -> None:
         """Releases reservations once the table shows what became of the transaction; until then they stand.
--- a/spurarch/coordination/best_fit.py
+++ b/spurarch/coordination/best_fit.py
@@ -182,10 +182,15 @@
     cpus, gpus, memory = need.cpus - EPSILON, need.gpus - EPSILON, need.memory_gb - EPSILON
     types, zones, spot = need.types, need.zones, need.spot
     return [
-        room for room in rooms
-        if room.free_cpus >= cpus and room.free_memory_gb >= memory and room.free_gpus >= gpus
-        and (spot or not room.spot) and (types is None or room.type in types) and (zones is None or room.zone in zones)
-    ]  # fmt: skip
+        room
+        for room in rooms
+        if room.free_cpus >= cpus
+        and room.free_memory_gb >= memory
+        and room.free_gpus >= gpus
+        and (spot or not room.spot)
+        and (types is None or room.type in types)
+        and (zones is None or room.zone in zones)
+    ]
 
 
 def _order(need: Need) -> Callable[[Room], tuple[bool, float, float]]:
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -88,9 +88,14 @@
     """Wires the layers together and runs until it is killed, or has to begin anew after a recovery."""
 
     def __init__(
-        self, platform: Platform, tuning: Tuning, network: Network | None = None, boot: str | None = None,
-        version: int = records.PROGRAM_VERSION, extension: Extension | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        platform: Platform,
+        tuning: Tuning,
+        network: Network | None = None,
+        boot: str | None = None,
+        version: int = records.PROGRAM_VERSION,
+        extension: Extension | None = None,
+    ) -> None:
         self.platform, self.tuning = platform, tuning
         self.network = network = network or Network()
         deployment = platform.deployment
@@ -110,13 +115,26 @@
         self._lag = LoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
         self.owner = PartitionOwner(
-            self.replica, self.membership, self.view, self.cloud, self.reachability, self.stall_detector, self._lag,
-            deployment, tuning, network, extension.coverage if extension is not None else None,
-        )  # fmt: skip
+            self.replica,
+            self.membership,
+            self.view,
+            self.cloud,
+            self.reachability,
+            self.stall_detector,
+            self._lag,
+            deployment,
+            tuning,
+            network,
+            extension.coverage if extension is not None else None,
+        )
         self.users = Users(
-            self.replica, self.view, deployment, [platform.node, *(p.node for p in platform.peers)],
-            self._wake, self._tell_cancelled,
-        )  # fmt: skip
+            self.replica,
+            self.view,
+            deployment,
+            [platform.node, *(p.node for p in platform.peers)],
+            self._wake,
+            self._tell_cancelled,
+        )
         self._began = time.monotonic()
         self.peers = {p.node: network.back_client(p.address) for p in platform.peers}
         self._waking = curio.Event()
@@ -194,9 +212,16 @@
         from spurarch.coordination.leader import Leader
 
         return Leader(
-            self.replica, self.membership, self.view, self.cloud, self.stall_detector, self.platform.deployment,
-            self.tuning, self.boot, self._wake,
-        )  # fmt: skip
+            self.replica,
+            self.membership,
+            self.view,
+            self.cloud,
+            self.stall_detector,
+            self.platform.deployment,
+            self.tuning,
+            self.boot,
+            self._wake,
+        )
 
     # Requests
 
@@ -333,15 +358,20 @@
             recent = {n: load for n, (load, at) in self._loads.items() if now - at < 3 * SHARE_S}
             total = self.platform.deployment.state.write_rps
             mine = peer_messages.Load(
-                node, *self.store.recent_writes(), self.owner.strangers(now), self.owner.returns.unrecorded(),
+                node,
+                *self.store.recent_writes(),
+                self.owner.strangers(now),
+                self.owner.returns.unrecorded(),
                 self.store.writes_refused,
-            )  # fmt: skip
+            )
             self.owner.returns.heard_elsewhere = {n: dict(load.strangers) for n, load in recent.items()}
             recent[node] = mine
             writes = lend(
-                node, {n: w for n, (_, w) in shares.items()}, {n: load.writes / total for n, load in recent.items()},
+                node,
+                {n: w for n, (_, w) in shares.items()},
+                {n: load.writes / total for n, load in recent.items()},
                 {n for n, load in recent.items() if load.hungry},
-            )  # fmt: skip
+            )
             self.store.set_shares(shares[node][0], writes)
             self.cloud.set_share(CLOUD_LEADER if node == leader else (1 - CLOUD_LEADER) / max(1, len(nodes) - 1))
             frame = peer_messages.encode(mine)
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -35,9 +35,17 @@
     """The leading controller's rounds; they do nothing while another one leads."""
 
     def __init__(
-        self, replica: Replica, membership: Membership, view: FleetView, cloud: Cloud, stall_detector: StallDetector,
-        deployment: Deployment, tuning: Tuning, boot: str, wake: Callable[[], Awaitable[None]],
-    ) -> None:  # fmt: skip
+        self,
+        replica: Replica,
+        membership: Membership,
+        view: FleetView,
+        cloud: Cloud,
+        stall_detector: StallDetector,
+        deployment: Deployment,
+        tuning: Tuning,
+        boot: str,
+        wake: Callable[[], Awaitable[None]],
+    ) -> None:
         self.replica, self.membership, self.view = replica, membership, view
         self.deployment, self.tuning = deployment, tuning
         self._wakeup = replica.listen()
@@ -97,9 +105,13 @@
         self.view.ledger.release_shown(self.replica.state.revision, term)
         scarce = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
         admission = Admission(
-            self.view, time.time(), self.tuning.ahead_s, self.tuning.longest_wait_s,
-            self._renting.coming(now), max(1, round(PIECE * scarce)),
-        )  # fmt: skip
+            self.view,
+            time.time(),
+            self.tuning.ahead_s,
+            self.tuning.longest_wait_s,
+            self._renting.coming(now),
+            max(1, round(PIECE * scarce)),
+        )
         plan = admission.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
         # A share of the processor at most, however much there is to admit.
         ended = time.monotonic()
@@ -148,5 +160,8 @@
             ledger = self.view.ledger
             log.info(
                 "teams: term %s, revision %d, %d violations: %s",
-                self._term, self.replica.state.revision, ledger.violations.count, ledger.summary(),
-            )  # fmt: skip
+                self._term,
+                self.replica.state.revision,
+                ledger.violations.count,
+                ledger.summary(),
+            )
--- a/spurarch/coordination/local_search.py
+++ b/spurarch/coordination/local_search.py
@@ -57,9 +57,14 @@
         weights = Weights(tuning.edge_weight, tuning.imbalance_weight, tuning.move_weight)
         search = Search(rooms, tasks, emptying, weights)
         out.search = search.run(
-            random, tuning.tabu_iterations, tuning.tabu_patience, tuning.tabu_tenure,
-            tuning.moves_per_round - len(out.moves), tuning.margin, late,
-        )  # fmt: skip
+            random,
+            tuning.tabu_iterations,
+            tuning.tabu_patience,
+            tuning.tabu_tenure,
+            tuning.moves_per_round - len(out.moves),
+            tuning.margin,
+            late,
+        )
         out.moves += [(runs[m.task], names[m.target]) for m in out.search.moves]
     return out
 
@@ -115,17 +120,20 @@
 
 
 def _move_off(
-    names: list[str], rooms: list[Room], tasks: list[Replica], runs: list[TaskAttempt], source: int,
-    emptying: frozenset[int], tuning: Tuning,
-) -> list[tuple[TaskAttempt, str]]:  # fmt: skip
+    names: list[str],
+    rooms: list[Room],
+    tasks: list[Replica],
+    runs: list[TaskAttempt],
+    source: int,
+    emptying: frozenset[int],
+    tuning: Tuning,
+) -> list[tuple[TaskAttempt, str]]:
     """Moves of the replicas on a machine that is emptied; its other tasks run to their end there."""
     out: list[tuple[TaskAttempt, str]] = []
     for task in tasks:
         if task.at != source or not task.movable or len(out) >= tuning.moves_per_round:
             continue
-        targets = [
-            r for i, r in enumerate(rooms) if i not in emptying and r.tasks > 0 and task.need.image in r.images
-        ]  # fmt: skip
+        targets = [r for i, r in enumerate(rooms) if i not in emptying and r.tasks > 0 and task.need.image in r.images]
         room = best_fit(task.need, targets)
         if room is not None:
             room.take(task.need)
--- a/spurarch/coordination/membership.py
+++ b/spurarch/coordination/membership.py
@@ -34,9 +34,12 @@
 
 
 def assign_partitions(
-    zones: list[str], parts: dict[str, PartitionRecord], members: dict[str, MemberRecord], settled: set[str],
+    zones: list[str],
+    parts: dict[str, PartitionRecord],
+    members: dict[str, MemberRecord],
+    settled: set[str],
     gangs: bool = False,
-) -> dict[str, str]:  # fmt: skip
+) -> dict[str, str]:
     """Parts that should change hands, and to whom.
 
     A part is a whole zone. It goes to a controller in its own zone if there is one, so that a zone cut off from the
@@ -90,9 +93,15 @@
     """Keeps this controller a member, elects a leader and claims the parts given to this controller."""
 
     def __init__(
-        self, replica: Replica, node: str, boot: str, area: str, zones: list[str], ttl_s: float,
+        self,
+        replica: Replica,
+        node: str,
+        boot: str,
+        area: str,
+        zones: list[str],
+        ttl_s: float,
         version: int = records.PROGRAM_VERSION,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.replica, self.node, self.boot, self.area = replica, node, boot, area
         self.zones, self.ttl_s, self.version = zones, ttl_s, version
         self._wakeup = replica.listen()
@@ -232,6 +241,6 @@
                 record = PartitionRecord(self.node, partition.epoch + 1, self.boot)
                 outcome = await self.replica.commit(
                     [Write(records.PART + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
-                )  # fmt: skip
+                )
                 if outcome.verdict is Verdict.DONE:
                     log.info("holding partition %s (epoch %d)", zone, record.epoch)
--- a/spurarch/coordination/partition.py
+++ b/spurarch/coordination/partition.py
@@ -51,9 +51,14 @@
     """
 
     def __init__(
-        self, zone: str, epoch: int, lease_s: float, now: float, image_of: Callable[[str], int | None],
+        self,
+        zone: str,
+        epoch: int,
+        lease_s: float,
+        now: float,
+        image_of: Callable[[str], int | None],
         violations: Violations | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.zone, self.epoch, self.lease_s = zone, epoch, lease_s
         self._image_of = image_of
         self._violations = violations or Violations()
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -65,9 +65,19 @@
     """All parts of this controller."""
 
     def __init__(
-        self, replica: Replica, membership: Membership, view: FleetView, cloud: Cloud, reachability: StoreReachability, stall_detector: StallDetector,
-        lag: LoopLag, deployment: Deployment, tuning: Tuning, network: Network, coverage: ArchiveCoverage | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        replica: Replica,
+        membership: Membership,
+        view: FleetView,
+        cloud: Cloud,
+        reachability: StoreReachability,
+        stall_detector: StallDetector,
+        lag: LoopLag,
+        deployment: Deployment,
+        tuning: Tuning,
+        network: Network,
+        coverage: ArchiveCoverage | None = None,
+    ) -> None:
         self._lag = lag
         self.replica, self.membership, self.view = replica, membership, view
         self.reachability, self.deployment, self.tuning = reachability, deployment, tuning
--- a/spurarch/coordination/placing.py
+++ b/spurarch/coordination/placing.py
@@ -606,9 +606,10 @@
         """
         machine = self.partition.machines[self.view.machines.name(room.machine)]
         lower = [
-            run for run in machine.runs.values()
+            run
+            for run in machine.runs.values()
             if self._stoppable(run) and self._priority(run) > need.priority and (gangs or not self._in_gang(run))
-        ]  # fmt: skip
+        ]
         lower.sort(key=lambda run: (self._in_gang(run), -self._priority(run), -(run.running_at or self.now)))
         return lower
 
@@ -651,10 +652,13 @@
         """
         if self._victims_by_guarantee is None:
             runs = [
-                run for run in self.partition.runs.values()
-                if self._stoppable(run) and run.where.job in self.view.jobs and not self._in_gang(run)
+                run
+                for run in self.partition.runs.values()
+                if self._stoppable(run)
+                and run.where.job in self.view.jobs
+                and not self._in_gang(run)
                 and run.where.job not in self.view.guaranteed()
-            ]  # fmt: skip
+            ]
             self._victims_by_guarantee = sorted(runs, key=lambda run: run.running_at or self.now)
         for run in reversed(self._victims_by_guarantee):
             victim = self.view.jobs[run.where.job]
--- a/spurarch/coordination/provisioning.py
+++ b/spurarch/coordination/provisioning.py
@@ -39,9 +39,17 @@
 def room_of(view: FleetView, offer: wire.MachineType, kind: Kind) -> Room:
     """An empty machine of a kind, as the decisions see one."""
     return Room(
-        -1, view.zones.index(kind.zone), view.types.index(kind.type), kind.spot,
-        offer.cpus, offer.gpus, offer.memory_gb, offer.cpus, offer.gpus, offer.memory_gb,
-    )  # fmt: skip
+        -1,
+        view.zones.index(kind.zone),
+        view.types.index(kind.type),
+        kind.spot,
+        offer.cpus,
+        offer.gpus,
+        offer.memory_gb,
+        offer.cpus,
+        offer.gpus,
+        offer.memory_gb,
+    )
 
 
 class Turnover:
@@ -70,9 +78,14 @@
 
 
 def plan_rentals(
-    view: FleetView, shortages: Iterable[Shortage], booting: Iterable[Kind], closed: set[Kind], zones: list[str],
-    turnover: Turnover, now: float,
-) -> list[Order]:  # fmt: skip
+    view: FleetView,
+    shortages: Iterable[Shortage],
+    booting: Iterable[Kind],
+    closed: set[Kind],
+    zones: list[str],
+    turnover: Turnover,
+    now: float,
+) -> list[Order]:
     """Rents for the tasks that fit neither on what is up nor on what is booting, at the least price per task."""
     rooms = [room_of(view, view.offers[k.type], k) for k in booting if k.type in view.offers]
     owned: dict[Kind, int] = defaultdict(int)
--- a/spurarch/coordination/releasing.py
+++ b/spurarch/coordination/releasing.py
@@ -44,9 +44,17 @@
     """All returns of this controller, and what it makes of the silence of its machines."""
 
     def __init__(
-        self, replica: Replica, membership: Membership, view: FleetView, cloud: Cloud, can: Permissions, stall_detector: StallDetector,
-        deployment: Deployment, tuning: Tuning, owned: dict[str, OwnedPartition],
-    ) -> None:  # fmt: skip
+        self,
+        replica: Replica,
+        membership: Membership,
+        view: FleetView,
+        cloud: Cloud,
+        can: Permissions,
+        stall_detector: StallDetector,
+        deployment: Deployment,
+        tuning: Tuning,
+        owned: dict[str, OwnedPartition],
+    ) -> None:
         self.replica, self.membership, self.view, self.cloud = replica, membership, view, cloud
         self.reachability, self._permissions, self._stall_detector = can.reachability, can, stall_detector
         self.deployment, self.tuning, self.owned = deployment, tuning, owned
@@ -88,10 +96,12 @@
             return  # a controller that is alone would take everybody's machines for orphaned
         self._next_orphans = now + RETURNS_S
         zones = {
-            zone for zone, partition in self.replica.state.parts.items()
-            if self.membership.holds(zone) is None and not self._permissions.superseded(zone)
+            zone
+            for zone, partition in self.replica.state.parts.items()
+            if self.membership.holds(zone) is None
+            and not self._permissions.superseded(zone)
             and not self.reachability.answers(partition.node, now, partition.boot)
-        }  # fmt: skip
+        }
         found = orphaned_machines(self.replica.state, zones, self._permissions.cancelled_ago, self.deployment.workers)
         left = {name: zone for name, zone in found.items() if name not in self._returned}
         if left and not self._orphans_under_way:
@@ -148,8 +158,12 @@
             )
 
     async def _start_return(
-        self, owned: OwnedPartition, found: list[Machine], now: float, how: Callable[[OwnedPartition, list[Machine]], Awaitable[None]]
-    ) -> None:  # fmt: skip
+        self,
+        owned: OwnedPartition,
+        found: list[Machine],
+        now: float,
+        how: Callable[[OwnedPartition, list[Machine]], Awaitable[None]],
+    ) -> None:
         machines = [m for m in found if m.return_after <= now][:RETURN_AT_ONCE]
         if machines:
             for machine in machines:
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/renting.py
@@ -39,9 +39,16 @@
     """Keeps types and prices known; rents while this process leads."""
 
     def __init__(
-        self, replica: Replica, membership: Membership, view: FleetView, cloud: Cloud, stall_detector: StallDetector,
-        deployment: Deployment, tuning: Tuning, boot: str,
-    ) -> None:  # fmt: skip
+        self,
+        replica: Replica,
+        membership: Membership,
+        view: FleetView,
+        cloud: Cloud,
+        stall_detector: StallDetector,
+        deployment: Deployment,
+        tuning: Tuning,
+        boot: str,
+    ) -> None:
         self._replica, self._membership, self._view, self._cloud = replica, membership, view, cloud
         self._deployment, self._tuning, self._boot, self._stall_detector = deployment, tuning, boot, stall_detector
         self.shortages: list[Shortage] = []
@@ -64,8 +71,9 @@
         self._settle_booting()
         return [
             room_of(self._view, self._view.offers[b.kind.type], b.kind)
-            for b in self.booting.values() if b.kind.type in self._view.offers and now - b.since < SLOW_BOOT_S
-        ]  # fmt: skip
+            for b in self.booting.values()
+            if b.kind.type in self._view.offers and now - b.since < SLOW_BOOT_S
+        ]
 
     def _still(self) -> bool:
         """This process leads as far as a recent copy shows.
@@ -138,10 +146,14 @@
         self._closed = {kind: until for kind, until in self._closed.items() if until > now}
         dark = self._view.dark()
         orders = plan_rentals(
-            self._view, self.shortages, [b.kind for b in self.booting.values() if b.kind.zone not in dark],
-            set(self._closed), [zone for zone in self._deployment.zones if zone not in dark],
-            Turnover(self._view, self._tuning.turnover_share), time.time(),
-        )  # fmt: skip
+            self._view,
+            self.shortages,
+            [b.kind for b in self.booting.values() if b.kind.zone not in dark],
+            set(self._closed),
+            [zone for zone in self._deployment.zones if zone not in dark],
+            Turnover(self._view, self._tuning.turnover_share),
+            time.time(),
+        )
         for order in orders:
             await self._hire(order)
 
--- a/spurarch/coordination/tabu.py
+++ b/spurarch/coordination/tabu.py
@@ -153,9 +153,14 @@
         return SearchResult(moves, before, best, step)
 
     def _best_step(
-        self, random: Random, tabu: dict[tuple[int, int], int], step: int, best: float, most_moves: int,
+        self,
+        random: Random,
+        tabu: dict[tuple[int, int], int],
+        step: int,
+        best: float,
+        most_moves: int,
         out_of_time: Callable[[], bool],
-    ) -> tuple[Replica, int, float] | None:  # fmt: skip
+    ) -> tuple[Replica, int, float] | None:
         """The cheapest neighbour that is not tabu, or is better than anything so far."""
         chosen: tuple[Replica, int, float] | None = None
         order = [t for t in self.tasks if t.movable]
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/users.py
@@ -49,9 +49,14 @@
     """Submissions, polls and cancels."""
 
     def __init__(
-        self, replica: Replica, view: FleetView, deployment: Deployment, nodes: list[str],
-        wake: Callable[[], Awaitable[None]], tell_cancelled: Callable[[str], Awaitable[None]],
-    ) -> None:  # fmt: skip
+        self,
+        replica: Replica,
+        view: FleetView,
+        deployment: Deployment,
+        nodes: list[str],
+        wake: Callable[[], Awaitable[None]],
+        tell_cancelled: Callable[[str], Awaitable[None]],
+    ) -> None:
         self.replica, self.view, self._wake, self._tell_cancelled = replica, view, wake, tell_cancelled
         self._teams = {team.name: team for team in deployment.teams}
         self._zones = set(deployment.zones)
@@ -105,9 +110,12 @@
             # A controller of an earlier version may join between this check and the transaction.
             guards = [records.MEMBER + node for node in self._nodes]
         outcome = await self.replica.commit(
-            [Write(records.JOB + spec.id, JobRecord(spec, time.time()))], guards,
-            absent=[records.FINAL + spec.id], give_up_s=GIVE_UP_S, urgency=Urgency.USERS,
-        )  # fmt: skip
+            [Write(records.JOB + spec.id, JobRecord(spec, time.time()))],
+            guards,
+            absent=[records.FINAL + spec.id],
+            give_up_s=GIVE_UP_S,
+            urgency=Urgency.USERS,
+        )
         if outcome.verdict is Verdict.DONE:
             await self._wake()
             return await self._once_archived(outcome.revision, _state(201, spec.id, wire.QUEUED))
@@ -163,8 +171,9 @@
                     return known
                 outcome = await self.replica.commit(
                     [Write(records.JOB + ref, JobRecord(record.spec, record.at, True, time.time()))],
-                    give_up_s=GIVE_UP_S, urgency=Urgency.USERS,
-                )  # fmt: skip
+                    give_up_s=GIVE_UP_S,
+                    urgency=Urgency.USERS,
+                )
                 if outcome.verdict is Verdict.DONE:
                     await self._tell_cancelled(ref)
                     return await self._once_archived(outcome.revision, _state(200, ref, wire.CANCELLED))
--- a/spurarch/coordination/view.py
+++ b/spurarch/coordination/view.py
@@ -309,10 +309,18 @@
         room = self.rooms.get(machine)
         if room is None:
             room = Room(
-                machine, where, self.types.index(record.type), record.spot,
-                offer.cpus, offer.gpus, offer.memory_gb, offer.cpus, offer.gpus, offer.memory_gb,
+                machine,
+                where,
+                self.types.index(record.type),
+                record.spot,
+                offer.cpus,
+                offer.gpus,
+                offer.memory_gb,
+                offer.cpus,
+                offer.gpus,
+                offer.memory_gb,
                 set(self._cached[machine]),
-            )  # fmt: skip
+            )
             self.rooms[machine] = self.zone_rooms[where][machine] = room
             for allocation, count in self._assigned[machine].items():
                 room.take(self.jobs[allocation.job].need, count)
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -76,9 +76,7 @@
     highest_epoch: int
 
 
-RecoveryMessage = (
-    RevisionRequest | RevisionAnswer | EvidenceRequest | EvidencePage | ReportsRequest | ReportsPage
-)  # fmt: skip
+RecoveryMessage = RevisionRequest | RevisionAnswer | EvidenceRequest | EvidencePage | ReportsRequest | ReportsPage
 
 encode = msgspec.msgpack.encode
 _decoder = msgspec.msgpack.Decoder(RecoveryMessage)
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -46,8 +46,12 @@
 def run_command(args: argparse.Namespace) -> int:
     """Runs a command; returns its exit code."""
     actions: dict[str, Callable[[Store, argparse.Namespace], Awaitable[None]]] = {
-        "init": _init, "status": _status, "doubts": _doubts, "settle": _settle, "purge": _purge,
-    }  # fmt: skip
+        "init": _init,
+        "status": _status,
+        "doubts": _doubts,
+        "settle": _settle,
+        "purge": _purge,
+    }
     try:
         platform = load_platform(args.config)
         store = Store(Network().client(platform.external.state, CONNECTIONS), platform.deployment.state, 1)
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -28,15 +28,26 @@
         """Makes the service for a controller."""
         controller.replica.state.finals.update(self._finals)
         return RecoveryService(
-            controller.platform, controller.tuning, controller.network, self.guard, controller.replica,
-            controller.owner, controller.owner.permissions, controller.cloud, controller.peers, controller.boot,
-        )  # fmt: skip
+            controller.platform,
+            controller.tuning,
+            controller.network,
+            self.guard,
+            controller.replica,
+            controller.owner,
+            controller.owner.permissions,
+            controller.cloud,
+            controller.peers,
+            controller.boot,
+        )
 
 
 def controller_with_recovery(
-    platform: Platform, tuning: Tuning, network: Network | None = None, boot: str | None = None,
+    platform: Platform,
+    tuning: Tuning,
+    network: Network | None = None,
+    boot: str | None = None,
     before: Controller | None = None,
-) -> Controller:  # fmt: skip
+) -> Controller:
     """A controller that notices lost data and takes part in rebuilding it. Its `run` ends when it has to begin anew.
 
     `before` is the controller of this process that did.
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -122,9 +122,13 @@
         evidence = await self._collect(lost, gathered)
         picture = await self._merge(evidence)
         log.info(
-            "rebuilt: %d jobs, %d final standings, %d in doubt, %d set aside, %s", len(picture.jobs),
-            len(picture.finals), len(picture.doubts), picture.set_aside, "uncertain" if picture.uncertain else "certain",
-        )  # fmt: skip
+            "rebuilt: %d jobs, %d final standings, %d in doubt, %d set aside, %s",
+            len(picture.jobs),
+            len(picture.finals),
+            len(picture.doubts),
+            picture.set_aside,
+            "uncertain" if picture.uncertain else "certain",
+        )
         return await self._write(lost, picture)
 
     def _advance(self, step: Step) -> None:
@@ -348,9 +352,15 @@
         self._advance(Step.WRITING)
         packed = self._pack(picture.finals)
         history = HistoryRecord(
-            self._name, lost.number + 1, self._epoch, len(packed), picture.uncertain, lost.name, lost.archived_answers,
+            self._name,
+            lost.number + 1,
+            self._epoch,
+            len(packed),
+            picture.uncertain,
+            lost.name,
+            lost.archived_answers,
             lost.installation,
-        )  # fmt: skip
+        )
         contents = dict(self._records_of(picture, packed))
         if len(contents) > SEEDED_ABOVE_S * self._around.deployment.state.write_rps:
             contents = self._seeded(contents)
@@ -359,11 +369,12 @@
         for batch in self._batches(puts):
             await self._commit(list(batch))
         opening: list[wire.Put | wire.Delete] = [
-            wire.Put(CURRENT, history), wire.Put(OPEN + self._name, OpenMarker(history.number)),
+            wire.Put(CURRENT, history),
+            wire.Put(OPEN + self._name, OpenMarker(history.number)),
             wire.Delete(REBUILD + self._name),
             # A version that knows no history would lead in the first one's keys; this leader never ends.
             wire.Put(records.LEADER, LeaderRecord("", "")),
-        ]  # fmt: skip
+        ]
         await self._commit(opening, [wire.Guard(OPEN + self._name, 0)], Step.OPENED)
         self._advance(Step.OPENED)
         return history
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -90,21 +90,28 @@
     """Recovery, as one controller takes part in it."""
 
     def __init__(
-        self, platform: Platform, tuning: Tuning, network: Network, guard: HistoryGuard, replica: Replica,
-        owner: PartitionOwner, permissions: Permissions, cloud: Cloud, peers: dict[str, Calls], boot: str,
-    ) -> None:  # fmt: skip
+        self,
+        platform: Platform,
+        tuning: Tuning,
+        network: Network,
+        guard: HistoryGuard,
+        replica: Replica,
+        owner: PartitionOwner,
+        permissions: Permissions,
+        cloud: Cloud,
+        peers: dict[str, Calls],
+        boot: str,
+    ) -> None:
         self._node, self._boot, self._guard, self._replica, self._owner = platform.node, boot, guard, replica, owner
         self._peers, self._installation = peers, tuning.installation
         deployment = platform.deployment
         self._store = Store(network.client(platform.external.state, CONNECTIONS), deployment.state, deployment.count)
         self._archive = network.client(tuning.archive_address, CONNECTIONS) if tuning.archive_address else None
         self._claim = RebuildClaim(self._store, platform.node, boot)
-        self.collector = ReportCollector(
-            permissions.answers, lambda job: permissions.cancelled_ago(job) is not None
-        )  # fmt: skip
+        self.collector = ReportCollector(permissions.answers, lambda job: permissions.cancelled_ago(job) is not None)
         self._around = Surroundings(
             platform.node, deployment, self._store, cloud, peers, self._archive, self.collector, self._own_source
-        )  # fmt: skip
+        )
         self.phase = ServicePhase.WATCHING
         self._stored: list[StoredRecord] | None = None
         self._suspicious: dict[str, _Suspicion] = {}  # by worker
@@ -175,7 +182,7 @@
             if answer.history:
                 self._lose_known(
                     HistoryRecord(answer.history, answer.number), f"no history, {answer.node} has seen {answer.history}"
-                )  # fmt: skip
+                )
                 return
 
     def _lose_known(self, history: HistoryRecord, reason: str) -> None:
@@ -297,9 +304,7 @@
         message = recovery_messages.decode(frame)
         if isinstance(message, RevisionRequest):
             record = self._guard.record
-            return recovery_messages.encode(
-                RevisionAnswer(self._node, record.name, record.number, self._guard.highest)
-            )  # fmt: skip
+            return recovery_messages.encode(RevisionAnswer(self._node, record.name, record.number, self._guard.highest))
         if isinstance(message, EvidenceRequest):
             return recovery_messages.encode(self._evidence_page(message))
         if isinstance(message, ReportsRequest):
@@ -311,9 +316,16 @@
         """A copy that may still change is no evidence yet: its history's marker is looked at before the next read."""
         replica, record = self._replica, self._guard.record
         page = EvidencePage(
-            self._node, self._boot, record.name, self.closed, replica.loaded, replica.loaded_revision,
-            replica.state.revision, [], 0,
-        )  # fmt: skip
+            self._node,
+            self._boot,
+            record.name,
+            self.closed,
+            replica.loaded,
+            replica.loaded_revision,
+            replica.state.revision,
+            [],
+            0,
+        )
         if not self.closed:
             self._guard.verified_at = float("-inf")
             return page
--- a/spurarch/storage/limits.py
+++ b/spurarch/storage/limits.py
@@ -92,8 +92,10 @@
     Nobody falls below its own share, and everybody keeps some room above what it used, so a caller that becomes busy
     need not wait for the news to get around. All who know the same reach shares that add up to no more than one.
     """
-    keep = {n: share if n in hungry else min(share, LENDER_KEEPS * share + LENDER_ROOM * used.get(n, share))
-            for n, share in shares.items()}  # fmt: skip
+    keep = {
+        n: share if n in hungry else min(share, LENDER_KEEPS * share + LENDER_ROOM * used.get(n, share))
+        for n, share in shares.items()
+    }
     if node not in hungry:
         return keep[node]
     takers = sum(share for n, share in shares.items() if n in hungry)
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -128,10 +128,16 @@
 _DECODERS: list[tuple[str, Any]] = [
     (prefix, msgspec.json.Decoder(kind))
     for prefix, kind in (
-        (JOB, JobRecord), (ADMISSION, AdmissionRecord), (ALLOT, AllocationRecord), (PART, PartitionRecord),
-        (MEMBER, MemberRecord), (LEADER, LeaderRecord), (MACHINE, MachineRecord), (FINAL, FinalRecord),
+        (JOB, JobRecord),
+        (ADMISSION, AdmissionRecord),
+        (ALLOT, AllocationRecord),
+        (PART, PartitionRecord),
+        (MEMBER, MemberRecord),
+        (LEADER, LeaderRecord),
+        (MACHINE, MachineRecord),
+        (FINAL, FinalRecord),
     )
-]  # fmt: skip
+]
 
 
 def decode(key: str, raw: bytes | msgspec.Raw) -> Record | None:
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -277,8 +277,14 @@
         self.state.revision = self.loaded_revision = first
         self.state.whole_from = max(first, page.revision)
         self.loaded = True
-        log.info("read %d records in %d pages and %.2f s, revisions %d to %d",
-                 len(seen), pages, time.monotonic() - start, first, page.revision)  # fmt: skip
+        log.info(
+            "read %d records in %d pages and %.2f s, revisions %d to %d",
+            len(seen),
+            pages,
+            time.monotonic() - start,
+            first,
+            page.revision,
+        )
         self.synced_at = max(self.synced_at, start)
         await self.ring()
 
@@ -445,11 +451,8 @@
         versions.update(pinned or {})
         txn = wire.Txn(
             [wire.Guard(key, version) for key, version in versions.items()],
-            [
-                wire.Delete(w.key) if w.record is None else wire.Put(w.key, w.record, w.lease)
-                for w in writes
-            ],
-        )  # fmt: skip
+            [wire.Delete(w.key) if w.record is None else wire.Put(w.key, w.record, w.lease) for w in writes],
+        )
         started = time.monotonic()
         unsure = False
         while True:
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -120,8 +120,14 @@
         self._writes.set_rate(now, self._write_rps * writes, self._write_rps * writes)
         if now - self._logged_at >= LOG_EVERY_S:
             span = now - self._logged_at
-            log.info("state service: %.1f requests/s, %.1f changes/s of %.1f, %d refused, longest wait %.2f s",
-                     self._made[0] / span, self._made[1] / span, self._writes.rate, self._made[2], self._made[3])  # fmt: skip
+            log.info(
+                "state service: %.1f requests/s, %.1f changes/s of %.1f, %d refused, longest wait %.2f s",
+                self._made[0] / span,
+                self._made[1] / span,
+                self._writes.rate,
+                self._made[2],
+                self._made[3],
+            )
             self._logged_at, self._made = now, [0, 0, 0, 0.0]
 
     def recent_writes(self) -> tuple[float, bool]:
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -11,10 +11,18 @@
 MAX_BODY = 64 * 1024  # bytes of a request's body
 MAX_HEAD = 16 * 1024  # bytes of a request's first line and headers
 REASONS = {
-    200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-    431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _TARGET = re.compile(r"[!-~]+")
 
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -11,8 +11,13 @@
 from pathlib import Path
 
 ACCEPTED, ASKED_TO_CANCEL, TOLD, STARTED, COMPLETED, LEFT = (
-    "accepted", "asked to cancel", "told", "started", "completed", "left",
-)  # fmt: skip
+    "accepted",
+    "asked to cancel",
+    "told",
+    "started",
+    "completed",
+    "left",
+)
 FINAL = {"done", "aborted"}
 
 
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -59,9 +59,15 @@
     """Jobs as users submitted them, machines as they are."""
 
     def __init__(
-        self, clock: Clock, wire: Wire, report_s: float, lease_s: float, cancel_s: float,
-        gang_wait_s: float = 30.0, gang_peer_s: float = 4.0,
-    ) -> None:  # fmt: skip
+        self,
+        clock: Clock,
+        wire: Wire,
+        report_s: float,
+        lease_s: float,
+        cancel_s: float,
+        gang_wait_s: float = 30.0,
+        gang_peer_s: float = 4.0,
+    ) -> None:
         self.clock, self.wire = clock, wire
         self.gangs = SimGangs(self, gang_wait_s, gang_peer_s)
         self.saved_attempts: dict[str, set[int]] = {}
@@ -179,10 +185,17 @@
         ]
         warning = None if self.notice_until is None else max(0.0, self.notice_until - now)
         return {
-            "croft": self.name, "addr": self.addr, "build": self.kind.name, "district": self.zone,
-            "lendable": self.spot, "tenure": self.session, "tally": self.seq, "baton": self.token,
-            "warning_s": warning, "legs": legs,
-        }  # fmt: skip
+            "croft": self.name,
+            "addr": self.addr,
+            "build": self.kind.name,
+            "district": self.zone,
+            "lendable": self.spot,
+            "tenure": self.session,
+            "tally": self.seq,
+            "baton": self.token,
+            "warning_s": warning,
+            "legs": legs,
+        }
 
     async def serve(self, request: Request) -> Response:
         """The worker's own address."""
@@ -413,12 +426,26 @@
         """The cloud's API."""
         url = urlsplit(request.target)
         if url.path == "/machine_types":
-            return answer(200, {"builds": [
-                {"sku": k.name, "vcpus": k.cpus, "gpus": 0, "memory_gb": k.memory, "local_gb": 40.0,
-                 "fetch_gb_per_s": 1.0, "hourly": k.cpus / 10, "spot_price": k.cpus / 30, "boot_s": k.boot,
-                 "districts": self.zones}
-                for k in self.kinds.values()
-            ]})  # fmt: skip
+            return answer(
+                200,
+                {
+                    "builds": [
+                        {
+                            "sku": k.name,
+                            "vcpus": k.cpus,
+                            "gpus": 0,
+                            "memory_gb": k.memory,
+                            "local_gb": 40.0,
+                            "fetch_gb_per_s": 1.0,
+                            "hourly": k.cpus / 10,
+                            "spot_price": k.cpus / 30,
+                            "boot_s": k.boot,
+                            "districts": self.zones,
+                        }
+                        for k in self.kinds.values()
+                    ]
+                },
+            )
         if url.path == "/machines/release":
             for name in json.loads(request.body)["crofts"]:
                 if name in self.machines:
@@ -453,6 +480,15 @@
             if name <= query.get("from", "") or m["at"] > then or m["gone"]:
                 continue
             state = "booting" if worker is None else "running" if worker.up else "failed"
-            out.append({"ref": name, "addr": "", "build": m["kind"].name, "district": m["zone"],
-                        "lendable": m["spot"], "standing": state, "held_s": then - m["at"]})  # fmt: skip
+            out.append(
+                {
+                    "ref": name,
+                    "addr": "",
+                    "build": m["kind"].name,
+                    "district": m["zone"],
+                    "lendable": m["spot"],
+                    "standing": state,
+                    "held_s": then - m["at"],
+                }
+            )
         return answer(200, {"crofts": out, "has_next": False})
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -265,10 +265,21 @@
             if i != index
         )
         text = PLATFORM.format(
-            node=f"n{index}", area="ab"[index % 2], public=self.nodes[index][1], back=self.backs[index], peers=peers,
-            cloud=self.cloud_address, state=self.states[index], count=s.controllers, teams=teams, report_s=s.report_s,
-            lease_s=s.lease_s, cancel_s=s.cancel_s, rps=s.rps, write_rps=s.write_rps,
-        )  # fmt: skip
+            node=f"n{index}",
+            area="ab"[index % 2],
+            public=self.nodes[index][1],
+            back=self.backs[index],
+            peers=peers,
+            cloud=self.cloud_address,
+            state=self.states[index],
+            count=s.controllers,
+            teams=teams,
+            report_s=s.report_s,
+            lease_s=s.lease_s,
+            cancel_s=s.cancel_s,
+            rps=s.rps,
+            write_rps=s.write_rps,
+        )
         path = self.directory / f"n{index}.toml"
         path.write_text(text)
         return path
@@ -293,9 +304,13 @@
     def _spawn(self, name: str, *words: str) -> None:
         with (self.directory / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, *self._words(*words)], stderr=log, stdout=log, stdin=subprocess.DEVNULL,
-                env=os.environ | {"LOG_LEVEL": "info"}, preexec_fn=_end_with_parent,
-            )  # fmt: skip
+                [sys.executable, *self._words(*words)],
+                stderr=log,
+                stdout=log,
+                stdin=subprocess.DEVNULL,
+                env=os.environ | {"LOG_LEVEL": "info"},
+                preexec_fn=_end_with_parent,
+            )
 
     def start_controller(self, index: int) -> None:
         """Starts one, or starts it again."""
@@ -350,11 +365,27 @@
     def describe(self, job: Job) -> bytes:
         """The submission of a job, which workers know from then on."""
         spec = {
-            "ref": job.ref, "circuit": "c", "crew": job.team, "gait": job.kind, "precedence": job.priority,
-            "legs": job.tasks, "vcpus": job.cpus, "gpus": 0.0, "memory_gb": 0.5, "kit": "i", "pull_gb": 0.05,
-            "builds": None, "district": None, "together": False, "spread": False, "lendable": False,
-            "reckon_s": job.run_s, "waypoint_s": 0.0, "stow_s": 0.0, "cutoff_s": None,
-        }  # fmt: skip
+            "ref": job.ref,
+            "circuit": "c",
+            "crew": job.team,
+            "gait": job.kind,
+            "precedence": job.priority,
+            "legs": job.tasks,
+            "vcpus": job.cpus,
+            "gpus": 0.0,
+            "memory_gb": 0.5,
+            "kit": "i",
+            "pull_gb": 0.05,
+            "builds": None,
+            "district": None,
+            "together": False,
+            "spread": False,
+            "lendable": False,
+            "reckon_s": job.run_s,
+            "waypoint_s": 0.0,
+            "stow_s": 0.0,
+            "cutoff_s": None,
+        }
         self.world.jobs[job.ref], self.world.run_s[job.ref] = spec, [job.run_s]
         return json.dumps(spec).encode()
 
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -178,9 +178,13 @@
         times.append(time.perf_counter() - began)
     times.sort()
     return {
-        "batches": 200, "changes": 1600, "bytes a change": (log.bytes - before) / 1600, "median ms": 1000 * times[100],
-        "p99 ms": 1000 * times[198], "value bytes": float(len(value)),
-    }  # fmt: skip
+        "batches": 200,
+        "changes": 1600,
+        "bytes a change": (log.bytes - before) / 1600,
+        "median ms": 1000 * times[100],
+        "p99 ms": 1000 * times[198],
+        "value bytes": float(len(value)),
+    }
 
 
 DAY = """
@@ -203,12 +207,15 @@
     reports = [body for worker in played.world.workers.values() for _, body in worker.sent]
     published = sum(event.get("write") == ARCHIVED for _, event in played.store.events)
     return {
-        "recovery": kind, "reports": len(reports), "bytes a report": sum(map(len, reports)) / len(reports),
+        "recovery": kind,
+        "reports": len(reports),
+        "bytes a report": sum(map(len, reports)) / len(reports),
         "ended tasks a report": sum(body.count(b'"ended"') for body in reports) / len(reports),
         "most ended tasks": max(body.count(b'"ended"') for body in reports),
-        "changes": sum(len(body["then"]) for body in played.store._carried), "of them published progress": published,
+        "changes": sum(len(body["then"]) for body in played.store._carried),
+        "of them published progress": published,
         "problems": len(played.problems),
-    }  # fmt: skip
+    }
 
 
 def answer_cost(archived: bool) -> dict[str, object]:
--- a/tests/sim/random_days.py
+++ b/tests/sim/random_days.py
@@ -19,9 +19,13 @@
     """Plays a part of the days, and fails with the text of one on which something broke; `more` are new ones."""
 
     @settings(
-        max_examples=more or few, deadline=None, database=None, print_blob=False,
-        phases=[Phase.generate, Phase.shrink] if more else [Phase.generate], suppress_health_check=list(HealthCheck),
-    )  # fmt: skip
+        max_examples=more or few,
+        deadline=None,
+        database=None,
+        print_blob=False,
+        phases=[Phase.generate, Phase.shrink] if more else [Phase.generate],
+        suppress_health_check=list(HealthCheck),
+    )
     @given(days)
     def one(text: str) -> None:
         assert play(text) == [], text
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -72,7 +72,7 @@
         self.store.page_items = self.page_items
         self.world = World(
             self.clock, self.wire, self.limits["report_s"], self.limits["lease_s"], self.limits["cancel_s"]
-        )  # fmt: skip
+        )
         self.world.limits = {t.name: t.cpus_max for t in self.teams}
         self.cloud = FakeCloud(self.world, self.zones, self.nodes, 5.0)
         self.cloud.kinds = {k.name: k for k in kinds}
@@ -91,8 +91,15 @@
         elif words[0] == "team":
             self.teams.append(Team(words[1], float(opts.get("cpus", 0)), float(opts.get("max", 0))))
         elif words[0] == "type":
-            kinds.append(Kind(words[1], float(opts.get("cpus", 4)), float(opts.get("memory", 16)),
-                              float(opts.get("boot", 5)), int(opts.get("capacity", 10))))  # fmt: skip
+            kinds.append(
+                Kind(
+                    words[1],
+                    float(opts.get("cpus", 4)),
+                    float(opts.get("memory", 16)),
+                    float(opts.get("boot", 5)),
+                    int(opts.get("capacity", 10)),
+                )
+            )
         elif words[0] == "machines":
             machines.append(words[1:])
         elif words[0] == "limits":
@@ -100,7 +107,7 @@
         elif words[0] == "next-limits":
             self.next_limits = NextStateLimits(
                 None, float(opts["write_rps"]), float(opts["value_kb"]), int(opts["txn_ops"])
-            )  # fmt: skip
+            )
         elif words[0] == "page-items":
             self.page_items = int(words[1])
         elif words[0] == "earlier":
@@ -118,16 +125,26 @@
         next_limits = None if f"n{index}" in self.earlier else self.next_limits
         peers = [
             Peer(f"n{i}", self.zones[i % len(self.zones)], f"10.0.0.{i + 1}:8081")
-            for i in range(self.count) if i != index
-        ]  # fmt: skip
+            for i in range(self.count)
+            if i != index
+        ]
         deployment = Deployment(
-            self.zones, self.teams, Workers(w["report_s"], w["lease_s"], w["cancel_s"]),
-            StateLimits(w["rps"], w["write_rps"], 8.0, 24, next_limits), CloudLimits(8.0, 5.0), self.count,
-        )  # fmt: skip
+            self.zones,
+            self.teams,
+            Workers(w["report_s"], w["lease_s"], w["cancel_s"]),
+            StateLimits(w["rps"], w["write_rps"], 8.0, 24, next_limits),
+            CloudLimits(8.0, 5.0),
+            self.count,
+        )
         return Platform(
-            f"n{index}", self.zones[index % len(self.zones)], self.nodes[index][1], f"10.0.0.{index + 1}:8081",
-            External(CLOUD, STATE), deployment, peers,
-        )  # fmt: skip
+            f"n{index}",
+            self.zones[index % len(self.zones)],
+            self.nodes[index][1],
+            f"10.0.0.{index + 1}:8081",
+            External(CLOUD, STATE),
+            deployment,
+            peers,
+        )
 
     async def start(self, node: str) -> None:
         """Starts a controller."""
@@ -316,15 +333,27 @@
 
     async def _user(self, ref: str, opts: dict[str, str]) -> None:
         spec = {
-            "ref": ref, "circuit": "c", "crew": opts.get("team", "t"), "gait": opts.get("kind", "batch"),
-            "precedence": opts.get("priority", "normal"), "legs": int(opts.get("tasks", 1)),
-            "vcpus": float(opts.get("cpus", 1)), "gpus": 0.0, "memory_gb": float(opts.get("memory", 1)),
-            "kit": opts.get("image", "i"), "pull_gb": float(opts.get("fetch", 0.5)),
-            "builds": [opts["type"]] if "type" in opts else None, "district": opts.get("zone"),
-            "together": "together" in opts, "spread": "spread" in opts, "lendable": "spot" in opts,
-            "reckon_s": float(opts.get("estimate", 5.0)), "waypoint_s": float(opts.get("checkpoint", 0.0)),
-            "stow_s": float(opts.get("save", 0.0)), "cutoff_s": None,
-        }  # fmt: skip
+            "ref": ref,
+            "circuit": "c",
+            "crew": opts.get("team", "t"),
+            "gait": opts.get("kind", "batch"),
+            "precedence": opts.get("priority", "normal"),
+            "legs": int(opts.get("tasks", 1)),
+            "vcpus": float(opts.get("cpus", 1)),
+            "gpus": 0.0,
+            "memory_gb": float(opts.get("memory", 1)),
+            "kit": opts.get("image", "i"),
+            "pull_gb": float(opts.get("fetch", 0.5)),
+            "builds": [opts["type"]] if "type" in opts else None,
+            "district": opts.get("zone"),
+            "together": "together" in opts,
+            "spread": "spread" in opts,
+            "lendable": "spot" in opts,
+            "reckon_s": float(opts.get("estimate", 5.0)),
+            "waypoint_s": float(opts.get("checkpoint", 0.0)),
+            "stow_s": float(opts.get("save", 0.0)),
+            "cutoff_s": None,
+        }
         self.world.jobs[ref] = spec
         self.world.submitted[ref] = self.clock.now
         self.world.run_s[ref] = [float(run) for run in opts.get("run", "5").split(",")]
--- a/tests/sim/soak_plan.py
+++ b/tests/sim/soak_plan.py
@@ -8,10 +8,31 @@
 from tests.sim.loopback import Job, LoopbackSettings
 
 TROUBLES = (
-    "kill", "kill-leader", "kill-all", "pause", "pause-leader", "peers-hold", "peers-refuse", "refuse-leader", "outage",
-    "slow-state", "late-writes", "lost-answers", "repeated-writes", "too-old", "no-watch", "slow-pages", "hang", "deaf",
-    "mute", "machine-dies", "late-reports", "late-commands", "cancel-burst", "leaders-in-series",
-)  # fmt: skip
+    "kill",
+    "kill-leader",
+    "kill-all",
+    "pause",
+    "pause-leader",
+    "peers-hold",
+    "peers-refuse",
+    "refuse-leader",
+    "outage",
+    "slow-state",
+    "late-writes",
+    "lost-answers",
+    "repeated-writes",
+    "too-old",
+    "no-watch",
+    "slow-pages",
+    "hang",
+    "deaf",
+    "mute",
+    "machine-dies",
+    "late-reports",
+    "late-commands",
+    "cancel-burst",
+    "leaders-in-series",
+)
 SIZES = ("small", "large")
 SPAN_S = {"small": 36.0, "large": 45.0}  # in which jobs come and troubles begin
 FIRST_TROUBLE_S = 5.0
@@ -53,13 +74,31 @@
     """The installation of a run."""
     if size == "small":
         return LoopbackSettings(
-            controllers=3 + seed % 2, machines=8, report_s=0.5, lease_s=5.0, cancel_s=14.0, rps=300.0, write_rps=90.0,
-            teams={"u": 6.0, "v": 5.5, "w": 9.0}, archive=False, seed=seed, capacity=10,
-        )  # fmt: skip
+            controllers=3 + seed % 2,
+            machines=8,
+            report_s=0.5,
+            lease_s=5.0,
+            cancel_s=14.0,
+            rps=300.0,
+            write_rps=90.0,
+            teams={"u": 6.0, "v": 5.5, "w": 9.0},
+            archive=False,
+            seed=seed,
+            capacity=10,
+        )
     return LoopbackSettings(
-        controllers=5, machines=200, report_s=2.5, lease_s=10.0, cancel_s=25.0, rps=400.0, write_rps=120.0,
-        teams={"u": 120.0, "v": 100.5, "w": 180.0}, archive=False, seed=seed, capacity=130,
-    )  # fmt: skip
+        controllers=5,
+        machines=200,
+        report_s=2.5,
+        lease_s=10.0,
+        cancel_s=25.0,
+        rps=400.0,
+        write_rps=120.0,
+        teams={"u": 120.0, "v": 100.5, "w": 180.0},
+        archive=False,
+        seed=seed,
+        capacity=130,
+    )
 
 
 def make_plan(seed: int, size: str, only: tuple[str, ...] = TROUBLES) -> SoakPlan:
@@ -75,10 +114,14 @@
     settings = settings_of(seed, size)
     jobs = [job for team in settings.teams for job in _jobs_of(team, settings.teams[team], random, SPAN_S[size])]
     jobs = [
-        PlannedJob(p.at_s, Job(f"job-{n:06d}", p.job.tasks, p.job.run_s, p.job.kind, p.job.cpus, p.job.team, p.job.priority),
-                   p.cancel_after_s, p.repeat_after_s)
+        PlannedJob(
+            p.at_s,
+            Job(f"job-{n:06d}", p.job.tasks, p.job.run_s, p.job.kind, p.job.cpus, p.job.team, p.job.priority),
+            p.cancel_after_s,
+            p.repeat_after_s,
+        )
         for n, p in enumerate(sorted(jobs, key=lambda planned: planned.at_s))
-    ]  # fmt: skip
+    ]
     return SoakPlan(seed, size, settings, jobs, _troubles(random, SPAN_S[size], only))
 
 
--- a/tests/sim/store.py
+++ b/tests/sim/store.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self, clock: Clock, random: Random, rps: float, write_rps: float, value_kb: float, txn_ops: int
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.clock, self.random = clock, random
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.leases: dict[int, tuple[float, float]] = {}
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -442,9 +442,11 @@
         assert json.loads(head.body)["revision"] == 50
         assert json.loads(head.body)["history"]["name"] == "aa"
         for target, status in (
-            ("/archive/records?history=aa&position=0", 200), ("/archive/records?history=zz&position=0", 404),
-            ("/archive/records?history=aa&position=-1", 400), ("/elsewhere", 404),
-        ):  # fmt: skip
+            ("/archive/records?history=aa&position=0", 200),
+            ("/archive/records?history=zz&position=0", 404),
+            ("/archive/records?history=aa&position=-1", 400),
+            ("/elsewhere", 404),
+        ):
             assert (await server.handle(Request("GET", target, b""))).status == status
         assert (await server.handle(Request("POST", "/archive/head", b""))).status == 405
 
--- a/tests/test_external_contract_archive.py
+++ b/tests/test_external_contract_archive.py
@@ -93,8 +93,10 @@
 
     assert (newest.history, newest.number, newest.revision) == ("9f2c", 2, 21)
     assert newest.records == {
-        "final/job-1": SECOND_BATCH[0], "final/job-2": SNAPSHOT_ENTRIES[0], "live/job/job-3": FIRST_BATCH[0],
-    }  # fmt: skip
+        "final/job-1": SECOND_BATCH[0],
+        "final/job-2": SNAPSHOT_ENTRIES[0],
+        "live/job/job-3": FIRST_BATCH[0],
+    }
     assert (earlier.revision, sorted(earlier.records)) == (13, ["final/job-2", "live/job/job-3"])
 
 
--- a/tests/test_external_contract_commands.py
+++ b/tests/test_external_contract_commands.py
@@ -171,9 +171,14 @@
 
 @pytest.mark.parametrize(
     "words",
-    ["--config {file}", "serve --config {file}", "check --config {file}", "settings --config {file}",
-     "recovery status --config {file}"],
-)  # fmt: skip
+    [
+        "--config {file}",
+        "serve --config {file}",
+        "check --config {file}",
+        "settings --config {file}",
+        "recovery status --config {file}",
+    ],
+)
 def test_a_file_that_is_not_there_ends_with_2_and_says_so(
     words: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -239,9 +244,15 @@
     [(200, 0, ""), (201, 0, ""), (404, 1, "spurarch: status 404\n"), (503, 1, "spurarch: status 503\n")],
 )
 def test_a_users_command_makes_its_request_and_prints_the_answer(
-    words: str, line: str, body: bytes, status: int, code: int, error: str,
-    tmp_path: Path, capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+    words: str,
+    line: str,
+    body: bytes,
+    status: int,
+    code: int,
+    error: str,
+    tmp_path: Path,
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     file = tmp_path / "job.json"
     file.write_bytes(b'{"ref":"job-1"}\n')
 
@@ -454,9 +465,13 @@
     ids=["again", "no-state", "no-doubt", "other-end", "rebuilding", "no-history", "refused", "certain", "outage"],
 )
 def test_an_operators_command_that_is_refused_says_why_in_one_line(
-    words: str, changed: dict[str, tuple[int, bytes]], code: int, error: str,
-    tmp_path: Path, capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+    words: str,
+    changed: dict[str, tuple[int, bytes]],
+    code: int,
+    error: str,
+    tmp_path: Path,
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     ended, _ = operate(words, {**OPEN_HISTORY, **changed}, tmp_path)
     assert (ended, capsys.readouterr()) == (code, ("", error))
 
--- a/tests/test_external_contract_peers.py
+++ b/tests/test_external_contract_peers.py
@@ -66,9 +66,17 @@
 ]
 
 REPORT = Report(
-    "vm-000231", "10.1.0.232:9000", "g8", "a", 1, 88, 41,
-    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)], True, 30.5,
-)  # fmt: skip
+    "vm-000231",
+    "10.1.0.232:9000",
+    "g8",
+    "a",
+    1,
+    88,
+    41,
+    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)],
+    True,
+    30.5,
+)
 PACKED_REPORT = (
     b"\x8a\xa5croft\xa9vm-000231\xa4addr\xaf10.1.0.232:9000\xa5build\xa2g8\xa8district\xa1a"
     b"\xa6tenure\x01\xa5tallyX\xa5baton)\xa4legs\x92"
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -28,9 +28,27 @@
 from spurarch.storage.seeds import SeedPack, SeedRecord
 
 FULL_SUBMISSION = Submission(
-    "job-000412", "train", "vision", "batch", "high", 16, 8.0, 1.0, 64.0, "img-07", 6.2, True, False, True,
-    240.0, 30.0, 4.0, ["g8"], "a", 900.0,
-)  # fmt: skip
+    "job-000412",
+    "train",
+    "vision",
+    "batch",
+    "high",
+    16,
+    8.0,
+    1.0,
+    64.0,
+    "img-07",
+    6.2,
+    True,
+    False,
+    True,
+    240.0,
+    30.0,
+    4.0,
+    ["g8"],
+    "a",
+    900.0,
+)
 FULL_SUBMISSION_BYTES = (
     b'{"ref":"job-000412","circuit":"train","crew":"vision","gait":"batch","precedence":"high","legs":16,'
     b'"vcpus":8.0,"gpus":1.0,"memory_gb":64.0,"kit":"img-07","pull_gb":6.2,"together":true,"spread":false,'
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -28,10 +28,24 @@
 RETRY = [("Retry-After", "1")]
 
 FIELDS = {
-    "ref": '"job-1"', "circuit": '"c"', "crew": '"t"', "gait": '"batch"', "precedence": '"high"', "legs": "1",
-    "vcpus": "1.0", "gpus": "0", "memory_gb": "1", "kit": '"i"', "pull_gb": "0", "together": "false",
-    "spread": "false", "lendable": "true", "reckon_s": "1", "waypoint_s": "0", "stow_s": "0",
-}  # fmt: skip
+    "ref": '"job-1"',
+    "circuit": '"c"',
+    "crew": '"t"',
+    "gait": '"batch"',
+    "precedence": '"high"',
+    "legs": "1",
+    "vcpus": "1.0",
+    "gpus": "0",
+    "memory_gb": "1",
+    "kit": '"i"',
+    "pull_gb": "0",
+    "together": "false",
+    "spread": "false",
+    "lendable": "true",
+    "reckon_s": "1",
+    "waypoint_s": "0",
+    "stow_s": "0",
+}
 
 
 def submission(**changed: str) -> bytes:
@@ -299,9 +313,12 @@
     tell(story, settle_s=0.0)
 
     assert answers == [
-        STARTING, STARTING, UNREACHABLE, UNREACHABLE,
+        STARTING,
+        STARTING,
+        UNREACHABLE,
+        UNREACHABLE,
         (503, b'{"error":"the owner of this zone is not known yet"}', []),
-    ]  # fmt: skip
+    ]
 
 
 def test_machine_types_that_are_not_known_yet_put_a_submission_off() -> None:
@@ -527,9 +544,7 @@
     assert answers == [(503, b'{"error":"cut from the state service"}', RETRY)]
 
 
-RUNNING = Report(
-    "vm-000001", "10.1.0.1:9000", "small", "a", 1, 1, 0, [TaskReport("job-1/0", 2, "running")]
-)  # fmt: skip
+RUNNING = Report("vm-000001", "10.1.0.1:9000", "small", "a", 1, 1, 0, [TaskReport("job-1/0", 2, "running")])
 
 
 def test_reports_during_a_rebuilding_get_exactly_these_answers() -> None:
@@ -584,13 +599,19 @@
 @pytest.mark.parametrize(
     ("status", "line"),
     [
-        (200, b"HTTP/1.1 200 OK"), (201, b"HTTP/1.1 201 Created"), (400, b"HTTP/1.1 400 Bad Request"),
-        (404, b"HTTP/1.1 404 Not Found"), (405, b"HTTP/1.1 405 Method Not Allowed"),
-        (413, b"HTTP/1.1 413 Content Too Large"), (421, b"HTTP/1.1 421 Misdirected Request"),
-        (422, b"HTTP/1.1 422 Unprocessable Content"), (431, b"HTTP/1.1 431 Request Header Fields Too Large"),
-        (500, b"HTTP/1.1 500 Internal Server Error"), (503, b"HTTP/1.1 503 Service Unavailable"),
+        (200, b"HTTP/1.1 200 OK"),
+        (201, b"HTTP/1.1 201 Created"),
+        (400, b"HTTP/1.1 400 Bad Request"),
+        (404, b"HTTP/1.1 404 Not Found"),
+        (405, b"HTTP/1.1 405 Method Not Allowed"),
+        (413, b"HTTP/1.1 413 Content Too Large"),
+        (421, b"HTTP/1.1 421 Misdirected Request"),
+        (422, b"HTTP/1.1 422 Unprocessable Content"),
+        (431, b"HTTP/1.1 431 Request Header Fields Too Large"),
+        (500, b"HTTP/1.1 500 Internal Server Error"),
+        (503, b"HTTP/1.1 503 Service Unavailable"),
     ],
-)  # fmt: skip
+)
 def test_a_status_has_exactly_this_first_line(status: int, line: bytes) -> None:
     assert render_response(Response(status)).split(b"\r\n")[0] == line
 
--- a/tests/test_external_contract_settings.py
+++ b/tests/test_external_contract_settings.py
@@ -303,9 +303,36 @@
     path = tmp_path / "t.sexp"
     path.write_text(FULL_TUNING)
     assert load_tuning(str(path)) == Tuning(
-        0.1, 0.2, 0.3, 20.0, 0.02, 1, 8, 61, 13, 0.6, 0.4, 26.0, 5.0, 41.0, 0.2, 2.0, 0.6, 21.0, 7.0, 121.0, 5.0, 0.5,
-        9.0, 2, True, "site", "10.0.9.9:8090", "hold", 21.0,
-    )  # fmt: skip
+        0.1,
+        0.2,
+        0.3,
+        20.0,
+        0.02,
+        1,
+        8,
+        61,
+        13,
+        0.6,
+        0.4,
+        26.0,
+        5.0,
+        41.0,
+        0.2,
+        2.0,
+        0.6,
+        21.0,
+        7.0,
+        121.0,
+        5.0,
+        0.5,
+        9.0,
+        2,
+        True,
+        "site",
+        "10.0.9.9:8090",
+        "hold",
+        21.0,
+    )
 
 
 def test_good_settings_are_called_good(platform_file: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -317,8 +344,11 @@
     ('node = "n0"', "", "top level: Object missing required field `node`"),
     ('node = "n0"', 'node = ""', "node: Expected `str` of length >= 1"),
     ('node = "n0"', 'node = "a b"', "node: Expected `str` matching regex '^[^\\\\s/]+$'"),
-    ('"127.0.0.1:1"', '"here"', "public_addr: Expected `str` matching regex "
-     "'^[0-9]{1,3}(\\\\.[0-9]{1,3}){3}:[0-9]{1,5}$'"),
+    (
+        '"127.0.0.1:1"',
+        '"here"',
+        "public_addr: Expected `str` matching regex '^[0-9]{1,3}(\\\\.[0-9]{1,3}){3}:[0-9]{1,5}$'",
+    ),
     ('back = "127.0.0.1:2"', "", "top level: Object missing required field `back`"),
     ('cloud = "127.0.0.1:3"', "", "external: Object missing required field `cloud`"),
     ('zones = ["a"]', "zones = []", "deployment.zones: Expected `array` of length >= 1"),
@@ -332,14 +362,23 @@
     ("txn_ops = 24", "txn_ops = 3", "deployment.state.txn_ops: Expected `int` >= 4"),
     ("txn_ops = 24", "txn_ops = 24\nnext = {txn_ops = 3}", "deployment.state.next.txn_ops: Expected `int` >= 4"),
     ("rps = 3.0", "rps = 0.0", "deployment.cloud.rps: Expected `float` > 0.0"),
-    ("[deployment.cloud]", "[deployment.limits]\ncpu = 0.01\n[deployment.cloud]",
-     "deployment.limits.cpu: Expected `float` >= 0.02"),
-    ("[deployment.cloud]", "[deployment.limits]\nmem_mb = 12.0\n[deployment.cloud]",
-     "deployment.limits.mem_mb: Expected `float` >= 20.0"),
-    ("[deployment.cloud]", "[deployment.limits]\nfd_limit = 20\n[deployment.cloud]",
-     "deployment.limits.fd_limit: Expected `int` >= 32"),
+    (
+        "[deployment.cloud]",
+        "[deployment.limits]\ncpu = 0.01\n[deployment.cloud]",
+        "deployment.limits.cpu: Expected `float` >= 0.02",
+    ),
+    (
+        "[deployment.cloud]",
+        "[deployment.limits]\nmem_mb = 12.0\n[deployment.cloud]",
+        "deployment.limits.mem_mb: Expected `float` >= 20.0",
+    ),
+    (
+        "[deployment.cloud]",
+        "[deployment.limits]\nfd_limit = 20\n[deployment.cloud]",
+        "deployment.limits.fd_limit: Expected `int` >= 32",
+    ),
     ("[external]", "[external", "Expected ']' at the end of a table declaration (at line 6, column 10)"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("old", "new", "message"), PLATFORM_ERRORS, ids=[case[2][:40] for case in PLATFORM_ERRORS])
@@ -392,12 +431,14 @@
 @pytest.mark.parametrize(
     ("limits", "scarce"),
     [
-        ("cpu = 0.05\nmem_mb = 32.0\nfd_limit = 100",
-         ["cpu = 0.05, below 0.1", "mem_mb = 32, below 64", "fd_limit = 100, below 256"]),
+        (
+            "cpu = 0.05\nmem_mb = 32.0\nfd_limit = 100",
+            ["cpu = 0.05, below 0.1", "mem_mb = 32, below 64", "fd_limit = 100, below 256"],
+        ),
         ("cpu = 0.1\nmem_mb = 64.0\nfd_limit = 256", []),
     ],
     ids=["scarce", "enough"],
-)  # fmt: skip
+)
 def test_limits_that_are_scarce_are_named(platform_file: Path, limits: str, scarce: list[str]) -> None:
     platform_file.write_text(f"{SHORT_PLATFORM}[deployment.limits]\n{limits}\n")
     assert load_platform(str(platform_file)).deployment.limits.scarce() == scarce
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -197,9 +197,17 @@
     b'{"leg":"job-000398/0","try":1,"standing":"ended","cause":"halted","stored":true}]}'
 )
 REPORT = Report(
-    "vm-000231", "10.1.0.232:9000", "g8", "a", 1, 88, 41,
-    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)], True, 30.5,
-)  # fmt: skip
+    "vm-000231",
+    "10.1.0.232:9000",
+    "g8",
+    "a",
+    1,
+    88,
+    41,
+    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)],
+    True,
+    30.5,
+)
 
 
 @pytest.mark.parametrize(
@@ -297,8 +305,10 @@
     assert (wire.PATH_JOBS, wire.PATH_CANCEL, wire.PATH_HEALTH) == ("/submissions", "cancel", "/up")
     assert (wire.PATH_REPORT, wire.PATH_COMMANDS) == ("/agent/beat", "/do")
     assert (wire.PATH_TYPES, wire.PATH_MACHINES, wire.PATH_RELEASE) == (
-        "/machine_types", "/machines", "/machines/release",
-    )  # fmt: skip
+        "/machine_types",
+        "/machines",
+        "/machines/release",
+    )
     assert (wire.PATH_KV, wire.PATH_TXN, wire.PATH_WATCH) == ("/kv", "/txn", "/watch")
     assert (wire.PATH_GRANTS, wire.PATH_EXTEND) == ("/grants", "extend")
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -64,9 +64,13 @@
 submits = st.builds("at {0} submit job-{1} tasks={2} run=5".format, moments, st.integers(6, 9), st.integers(1, 6))
 days = st.builds(
     lambda lines: "\n".join(dict.fromkeys(sorted(lines, key=lambda line: float(line.split()[1])))),
-    st.builds(lambda *parts: list(chain.from_iterable(parts)), st.lists(timed, min_size=2, max_size=4), st.lists(cancels, min_size=1, max_size=3),
-              st.lists(submits, max_size=2, unique_by=lambda line: line.split()[3])),
-)  # fmt: skip
+    st.builds(
+        lambda *parts: list(chain.from_iterable(parts)),
+        st.lists(timed, min_size=2, max_size=4),
+        st.lists(cancels, min_size=1, max_size=3),
+        st.lists(submits, max_size=2, unique_by=lambda line: line.split()[3]),
+    ),
+)
 
 
 def left(played: Play, but: set[str], may_be: set[str]) -> list[str]:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -31,10 +31,24 @@
 
 def submission(tasks: int) -> wire.Submission:
     return wire.Submission(
-        id="job-1", job_class="c", team="t", kind=wire.GANG, priority="normal", tasks=tasks, cpus=1.0, gpus=0.0,
-        memory_gb=1.0, image="i", image_gb=0.0, one_zone=True, spread=False, spot=False, estimate_s=1.0,
-        checkpoint_s=5.0, save_s=2.0,
-    )  # fmt: skip
+        id="job-1",
+        job_class="c",
+        team="t",
+        kind=wire.GANG,
+        priority="normal",
+        tasks=tasks,
+        cpus=1.0,
+        gpus=0.0,
+        memory_gb=1.0,
+        image="i",
+        image_gb=0.0,
+        one_zone=True,
+        spread=False,
+        spot=False,
+        estimate_s=1.0,
+        checkpoint_s=5.0,
+        save_s=2.0,
+    )
 
 
 def member(index: int, attempt: int = 1) -> TaskAttempt:
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -42,19 +42,25 @@
             parser.feed(stream[begin:end])
             got += requests_of(parser)
     assert got == [
-        Request("POST", "/agent/beat", b"body"), Request("POST", "/x", b"abcde"), Request("GET", "/up?x=%20", b""),
-    ]  # fmt: skip
+        Request("POST", "/agent/beat", b"body"),
+        Request("POST", "/x", b"abcde"),
+        Request("GET", "/up?x=%20", b""),
+    ]
     assert not parser.started
     assert not parser.closing
 
 
 @pytest.mark.parametrize(
     ("raw", "closing"),
-    [(GET, False), (b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", True),
-     (b"GET / HTTP/1.0\r\n\r\n", True), (b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", False),
-     (b"GET / HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n", True)],
+    [
+        (GET, False),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", True),
+        (b"GET / HTTP/1.0\r\n\r\n", True),
+        (b"GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", False),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n", True),
+    ],
     ids=["open", "close", "old", "old-open", "upgrade"],
-)  # fmt: skip
+)
 def test_the_connection_ends_when_the_client_asks_for_it(raw: bytes, closing: bool) -> None:
     parser = RequestParser()
     parser.feed(raw)
@@ -64,16 +70,23 @@
 
 @pytest.mark.parametrize(
     ("raw", "status"),
-    [(b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400), (b"GET / HTTP/1.1\r\n\r\n", 400),
-     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
-     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-     (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", 400), (b"GET  HTTP/1.1\r\n\r\n", 400),
-     (b"GET / HTTP/1.1\r\nHost: a\r\nBad Name: x\r\n\r\n", 400),
-     (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
-     (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-      + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * (MAX_BODY // 0x4000 + 1), 413),
-     (b"GET /" + b"x" * MAX_HEAD, 431)],
-)  # fmt: skip
+    [
+        (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", 400),
+        (b"GET  HTTP/1.1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nBad Name: x\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
+        (
+            b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * (MAX_BODY // 0x4000 + 1),
+            413,
+        ),
+        (b"GET /" + b"x" * MAX_HEAD, 431),
+    ],
+)
 def test_what_is_no_request_is_refused(raw: bytes, status: int) -> None:
     parser = RequestParser()
     with pytest.raises(MessageError) as refused:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -62,10 +62,17 @@
             at = next((i for i, name in enumerate(names) if name > after), len(names))
             at = max(0, at - 1) if at % (2 * PAGE) else at
             listed = [
-                {"ref": name, "addr": "10.1.0.1:9000", "build": "big", "district": "a", "lendable": False,
-                 "standing": "running", "held_s": 1.0}
+                {
+                    "ref": name,
+                    "addr": "10.1.0.1:9000",
+                    "build": "big",
+                    "district": "a",
+                    "lendable": False,
+                    "standing": "running",
+                    "held_s": 1.0,
+                }
                 for name in names[at : at + PAGE]
-            ]  # fmt: skip
+            ]
             return 200, msgspec.json.encode({"crofts": listed, "has_next": at + PAGE < len(names)})
 
     async def main() -> None:
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -322,8 +322,9 @@
             for entry in record.tasks:
                 expected = RETURNED if entry.state == FREE else entry.state
                 assert (found[entry.index].state, found[entry.index].machine) == (
-                    expected, entry.machine if expected == ASSIGNED else "",
-                )  # fmt: skip
+                    expected,
+                    entry.machine if expected == ASSIGNED else "",
+                )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -9,11 +9,15 @@
 from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog, check
 
 GOOD = [
-    Event(1, ACCEPTED, "job-1"), Event(2, STARTED, "job-1", 0, "vm-1"), Event(3, STARTED, "job-1", 1, "vm-2"),
-    Event(4, TOLD, "job-1", detail="running"), Event(5, COMPLETED, "job-1", 0, "vm-1"),
-    Event(6, COMPLETED, "job-1", 1, "vm-2"), Event(7, TOLD, "job-1", detail="done"),
+    Event(1, ACCEPTED, "job-1"),
+    Event(2, STARTED, "job-1", 0, "vm-1"),
+    Event(3, STARTED, "job-1", 1, "vm-2"),
+    Event(4, TOLD, "job-1", detail="running"),
+    Event(5, COMPLETED, "job-1", 0, "vm-1"),
+    Event(6, COMPLETED, "job-1", 1, "vm-2"),
+    Event(7, TOLD, "job-1", detail="done"),
     Event(8, TOLD, "job-1", detail="done"),
-]  # fmt: skip
+]
 
 
 def wrong(*events: Event, tasks: int = 2) -> list[str]:
--- a/tests/test_recovery_combinations.py
+++ b/tests/test_recovery_combinations.py
@@ -28,14 +28,19 @@
     st.builds("at {} {}".format, moments, losses),
     st.builds("at {} restore later".format, st.integers(161, 400).map(lambda tenths: tenths / 10)),  # saved at 16 s
 )
-archiver = st.builds("at {0} stop-archiver\nat {1} start-archiver".format, st.integers(80, 200).map(lambda t: t / 10),
-                     st.integers(201, 400).map(lambda t: t / 10))  # fmt: skip
+archiver = st.builds(
+    "at {0} stop-archiver\nat {1} start-archiver".format,
+    st.integers(80, 200).map(lambda t: t / 10),
+    st.integers(201, 400).map(lambda t: t / 10),
+)
 cancels = st.builds("at {} cancel job-{}".format, moments, st.sampled_from([3, 4, 5, 10]))
 days = st.builds(
     lambda *parts: "\n".join(dict.fromkeys(chain.from_iterable(parts))),
-    st.lists(lost, min_size=1, max_size=2), st.lists(timed, max_size=3), st.lists(cancels, max_size=2),
+    st.lists(lost, min_size=1, max_size=2),
+    st.lists(timed, max_size=3),
+    st.lists(cancels, max_size=2),
     st.lists(archiver, max_size=1),
-)  # fmt: skip
+)
 
 
 def play(text: str) -> list[str]:
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -16,9 +16,16 @@
 
 # Those in which a rebuilt history goes on working, is lost again or taken over.
 SEEDED = {
-    "gang", "late-transactions", "lost-again-meanwhile", "rolled-back", "team-at-its-limit", "wiped", "wiped-all-restarted",
-    "wiped-one-ended", "worker-reports-late",
-}  # fmt: skip
+    "gang",
+    "late-transactions",
+    "lost-again-meanwhile",
+    "rolled-back",
+    "team-at-its-limit",
+    "wiped",
+    "wiped-all-restarted",
+    "wiped-one-ended",
+    "worker-reports-late",
+}
 FILES = sorted((Path(__file__).parent / "scenarios" / "recovery").glob("*.txt"))
 PLAYS = [(path, values) for path in FILES for values in Scenario.variants(path)]
 
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -32,10 +32,24 @@
 
 ROOT = Path(__file__).parent.parent
 GOOD = {
-    "ref": "job-1", "circuit": "c", "crew": "t", "gait": "batch", "precedence": "high", "legs": 1, "vcpus": 1.0,
-    "gpus": 0, "memory_gb": 1, "kit": "i", "pull_gb": 0, "together": False, "spread": False, "lendable": True,
-    "reckon_s": 1, "waypoint_s": 0, "stow_s": 0,
-}  # fmt: skip
+    "ref": "job-1",
+    "circuit": "c",
+    "crew": "t",
+    "gait": "batch",
+    "precedence": "high",
+    "legs": 1,
+    "vcpus": 1.0,
+    "gpus": 0,
+    "memory_gb": 1,
+    "kit": "i",
+    "pull_gb": 0,
+    "together": False,
+    "spread": False,
+    "lendable": True,
+    "reckon_s": 1,
+    "waypoint_s": 0,
+    "stow_s": 0,
+}
 
 json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
@@ -51,9 +65,21 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [("legs", 0), ("legs", 100_001), ("legs", "1"), ("legs", True), ("vcpus", -1), ("vcpus", 1e300), ("gait", "x"),
-     ("precedence", "x"), ("together", 1), ("builds", "g8"), ("ref", ""), ("memory_gb", None)],
-)  # fmt: skip
+    [
+        ("legs", 0),
+        ("legs", 100_001),
+        ("legs", "1"),
+        ("legs", True),
+        ("vcpus", -1),
+        ("vcpus", 1e300),
+        ("gait", "x"),
+        ("precedence", "x"),
+        ("together", 1),
+        ("builds", "g8"),
+        ("ref", ""),
+        ("memory_gb", None),
+    ],
+)
 def test_wrong_fields_are_refused(field: str, value: object) -> None:
     with pytest.raises(msgspec.ValidationError):
         wire.submission_decoder.decode(msgspec.json.encode({**GOOD, field: value}))
@@ -76,13 +102,17 @@
 
 @pytest.mark.parametrize(
     ("raw", "status"),
-    [(b"nonsense\r\n\r\n", b"400"), (b"GET / HTTP/1.1\r\n\r\n", b"400"),
-     (b"GET /x HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 40_000 + b"\r\n\r\n", b"431"),
-     (b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n" + b"z" * 70_000, b"413"),
-     (b"GET /x HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", b"400"),
-     (b"GET /boom HTTP/1.1\r\nHost: a\r\n\r\n", b"500"), (b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n", b"200")],
+    [
+        (b"nonsense\r\n\r\n", b"400"),
+        (b"GET / HTTP/1.1\r\n\r\n", b"400"),
+        (b"GET /x HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 40_000 + b"\r\n\r\n", b"431"),
+        (b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n" + b"z" * 70_000, b"413"),
+        (b"GET /x HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", b"400"),
+        (b"GET /boom HTTP/1.1\r\nHost: a\r\n\r\n", b"500"),
+        (b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n", b"200"),
+    ],
     ids=["nonsense", "no-host", "long-head", "long-body", "bad-length", "handler-fails", "good"],
-)  # fmt: skip
+)
 def test_server_answers_whatever_comes(raw: bytes, status: bytes) -> None:
     async def handler(request: Request) -> Response:
         if request.target == "/boom":
@@ -170,10 +200,15 @@
 
 @pytest.mark.parametrize(
     ("old", "new", "word"),
-    [("lease_s = 10.0", "lease_s = -1", "deployment.workers.lease_s"), ("lease_s = 10.0", "", "lease_s"),
-     ('zones = ["a"]', "zones = []", "deployment.zones"), ('"127.0.0.1:1"', '"here"', "public_addr"),
-     ("cancel_s = 30.0", "cancel_s = 9.0", "cancel_s"), ("[external]", "[external", "p.toml")],
-)  # fmt: skip
+    [
+        ("lease_s = 10.0", "lease_s = -1", "deployment.workers.lease_s"),
+        ("lease_s = 10.0", "", "lease_s"),
+        ('zones = ["a"]', "zones = []", "deployment.zones"),
+        ('"127.0.0.1:1"', '"here"', "public_addr"),
+        ("cancel_s = 30.0", "cancel_s = 9.0", "cancel_s"),
+        ("[external]", "[external", "p.toml"),
+    ],
+)
 def test_bad_platform_settings_name_the_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], old: str, new: str, word: str
 ) -> None:
@@ -208,9 +243,15 @@
 
 @pytest.mark.parametrize(
     ("text", "word"),
-    [("((round-s 0))", "round-s"), ("((nothing 1))", "nothing"), ("((round-s 1) (round-s 2))", "stands twice"),
-     ("(round-s)", "top level"), ("((", "S-expression"), ("((margin \"x\"))", "margin")],
-)  # fmt: skip
+    [
+        ("((round-s 0))", "round-s"),
+        ("((nothing 1))", "nothing"),
+        ("((round-s 1) (round-s 2))", "stands twice"),
+        ("(round-s)", "top level"),
+        ("((", "S-expression"),
+        ('((margin "x"))', "margin"),
+    ],
+)
 def test_bad_tuning_names_the_setting(tmp_path: Path, text: str, word: str) -> None:
     path = tmp_path / "t.sexp"
     path.write_text(text)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -53,8 +53,24 @@
 
 def submission(ref: str, tasks: int) -> wire.Submission:
     return wire.Submission(
-        ref, "c", "t", wire.BATCH, "high", tasks, 1.0, 0.0, 1.0, "image", 1.0, False, False, True, 10.0, 0.0, 0.0,
-    )  # fmt: skip
+        ref,
+        "c",
+        "t",
+        wire.BATCH,
+        "high",
+        tasks,
+        1.0,
+        0.0,
+        1.0,
+        "image",
+        1.0,
+        False,
+        False,
+        True,
+        10.0,
+        0.0,
+        0.0,
+    )
 
 
 class Fleet:
@@ -369,9 +385,11 @@
 
 
 @given(
-    st.lists(st.sampled_from(NODES), max_size=6), st.sampled_from([*NODES, None]),
-    st.fixed_dictionaries({n: st.floats(0, 2) for n in NODES}), st.sets(st.sampled_from(NODES)),
-)  # fmt: skip
+    st.lists(st.sampled_from(NODES), max_size=6),
+    st.sampled_from([*NODES, None]),
+    st.fixed_dictionaries({n: st.floats(0, 2) for n in NODES}),
+    st.sets(st.sampled_from(NODES)),
+)
 def test_shares_add_up_to_one_however_they_are_lent(
     owners: list[str], leader: str | None, used: dict[str, float], hungry: set[str]
 ) -> None:
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -13,12 +13,31 @@
 
 # What curio, the command line and the platform's file could bring in, and what only rounds need.
 UNUSED = {
-    "argparse", "asyncio", "multiprocessing", "ssl", "subprocess", "concurrent.futures", "secrets", "pathlib",
-    "curio.channel", "curio.file", "curio.network", "curio.socket", "curio.ssl", "sexpdata",
-    "spurarch.coordination.leader", "spurarch.coordination.admission", "spurarch.coordination.placing",
-    "spurarch.coordination.local_search", "spurarch.coordination.tabu", "spurarch.coordination.provisioning",
-    "spurarch.storage.history", "spurarch.protocol.recovery_messages", "spurarch.recovery", "spurarch.archive",
-}  # fmt: skip
+    "argparse",
+    "asyncio",
+    "multiprocessing",
+    "ssl",
+    "subprocess",
+    "concurrent.futures",
+    "secrets",
+    "pathlib",
+    "curio.channel",
+    "curio.file",
+    "curio.network",
+    "curio.socket",
+    "curio.ssl",
+    "sexpdata",
+    "spurarch.coordination.leader",
+    "spurarch.coordination.admission",
+    "spurarch.coordination.placing",
+    "spurarch.coordination.local_search",
+    "spurarch.coordination.tabu",
+    "spurarch.coordination.provisioning",
+    "spurarch.storage.history",
+    "spurarch.protocol.recovery_messages",
+    "spurarch.recovery",
+    "spurarch.archive",
+}
 MOST_MODULES = 170
 
 # Starts a controller over a state service in which it owns a partition, and reports to it as a worker does.
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -55,10 +55,13 @@
 def test_a_long_answer_is_taken_in_pieces_and_no_transaction_in_part() -> None:
     """After a cut of 90 s a controller found that it had stood still: it took all that had happened in one piece."""
     events = [
-        wire.Event(put=f"{records.JOB}job-{n}", value=msgspec.Raw(msgspec.json.encode(JobRecord(submission(f"job-{n}", 1), 0.0))),
-                   version=1 + n // 3)
+        wire.Event(
+            put=f"{records.JOB}job-{n}",
+            value=msgspec.Raw(msgspec.json.encode(JobRecord(submission(f"job-{n}", 1), 0.0))),
+            version=1 + n // 3,
+        )
         for n in range(3000)
-    ]  # fmt: skip
+    ]
     seen: list[int] = []
     clock = Clock()
 
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -40,24 +40,37 @@
     st.builds("too-old {} for={}".format, nodes, spans),
     st.builds("no-watch {} for={}".format, nodes, spans),
     st.builds("slow-pages {} by=0.4".format, nodes),
-    st.builds("slow-writes live/allot/{}/ by={} for={}".format, st.sampled_from("abc"), st.sampled_from([0.6, 1.8, 4.0]), spans),
+    st.builds(
+        "slow-writes live/allot/{}/ by={} for={}".format,
+        st.sampled_from("abc"),
+        st.sampled_from([0.6, 1.8, 4.0]),
+        spans,
+    ),
     st.builds("lose-answers for={}".format, st.sampled_from([0.5, 1.5, 3.0])),
     st.builds("kill-leader for={}".format, st.sampled_from([0.3, 4.0])),
     st.builds("hang {} for={}".format, machines, st.sampled_from([4.0, 14.0])),
     troubles,
-)  # fmt: skip
+)
 timed = st.builds("at {} {}".format, moments, stale)
 kinds = st.sampled_from(["kind=gang", "kind=daemon priority=production", "priority=high", "priority=normal", ""])
 submits = st.builds(
-    "at {0} submit job-{1} team={2} tasks={3} cpus={4} run=5 {5}".format, moments, st.integers(10, 30),
-    st.sampled_from("uv"), st.integers(1, 4), st.sampled_from([0.3, 1, 1.1]), kinds,
-)  # fmt: skip
+    "at {0} submit job-{1} team={2} tasks={3} cpus={4} run=5 {5}".format,
+    moments,
+    st.integers(10, 30),
+    st.sampled_from("uv"),
+    st.integers(1, 4),
+    st.sampled_from([0.3, 1, 1.1]),
+    kinds,
+)
 cancels = st.builds("at {} cancel job-{}".format, moments, st.sampled_from([2, 3, 4, 5, 5]))
 days = st.builds(
-    lambda *parts: "\n".join(sorted((line for lines in parts for line in lines), key=lambda line: float(line.split()[1]))),
-    st.lists(timed, min_size=3, max_size=7), st.lists(submits, min_size=4, max_size=8, unique_by=lambda line: line.split()[3]),
+    lambda *parts: "\n".join(
+        sorted((line for lines in parts for line in lines), key=lambda line: float(line.split()[1]))
+    ),
+    st.lists(timed, min_size=3, max_size=7),
+    st.lists(submits, min_size=4, max_size=8, unique_by=lambda line: line.split()[3]),
     st.lists(cancels, max_size=3, unique_by=lambda line: line.split()[3]),
-)  # fmt: skip
+)
 
 
 def play(text: str) -> list[str]:
