--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -10,7 +10,7 @@
 import time
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from spurarch.protocol import wire
 from spurarch.storage.history import CLAIM
@@ -26,9 +26,9 @@
     """Who rebuilds. `epoch` is 0 until it has been chosen; `step` is for people."""
 
     node: str
-    boot: str
+    boot: str = field(name="boot")
     name: str  # of the history to come
-    beat: int
+    beat: int = field(name="beat")
     epoch: int = 0
     step: str = ""
 
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -24,10 +24,10 @@
     """What a team is guaranteed and what it may use at most; 0 means none."""
 
     name: str
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    cpus: NotNegative = field(name="cpus", default=0.0)
+    cpus_max: NotNegative = field(name="cpus_max", default=0.0)
+    gpus: NotNegative = field(name="gpus", default=0.0)
+    gpus_max: NotNegative = field(name="gpus_max", default=0.0)
 
 
 class Objective(Struct):
@@ -43,7 +43,7 @@
 class Workers(Struct):
     """How workers report."""
 
-    report_s: Positive
+    report_s: Positive = field(name="report_s")
     lease_s: Positive
     cancel_s: Positive
     gang_wait_s: Positive = 30.0
@@ -184,17 +184,17 @@
     moves_per_round: Annotated[int, Meta(ge=0, le=100)] = 3
     tabu_tenure: Annotated[int, Meta(ge=1, le=1000)] = 7
     tabu_iterations: Annotated[int, Meta(ge=1, le=10000)] = 60
-    tabu_patience: Annotated[int, Meta(ge=1, le=10000)] = 12
+    tabu_patience: Annotated[int, Meta(ge=1, le=10000)] = field(name="tabu-patience", default=12)
     consolidation_cap: Share = 0.7
     service_minimum: Share = 0.5
     budget_ms: Positive = 25.0
     member_ttl_s: Annotated[float, Meta(ge=0.5, le=600)] = 4.0
-    idle_return_s: NotNegative = 40.0
+    idle_return_s: NotNegative = field(name="idle-return-s", default=40.0)
     headroom: NotNegative = 0.1
-    rent_pause_s: Positive = 1.0
+    rent_pause_s: Positive = field(name="rent-pause-s", default=1.0)
     turnover_share: Share = 0.5
     capacity_backoff_s: Positive = 20.0
-    silent_return_s: NotNegative = 6.0
+    silent_return_s: NotNegative = field(name="silent-return-s", default=6.0)
     longest_wait_s: Positive = 120.0
     ahead_s: NotNegative = 4.0
     size_weight: NotNegative = 0.4
@@ -204,7 +204,7 @@
     installation: Annotated[str, Meta(max_length=100, pattern=r"^[^\s]*$")] = ""
     archive_address: str = ""
     archive_away: Annotated[str, Meta(pattern="^(go-on|hold)$")] = "go-on"
-    archive_patience_s: Positive = 20.0
+    archive_patience_s: Positive = field(name="archive-patience-s", default=20.0)
 
 
 def _read(path: str) -> str:
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from spurarch.protocol.wire import Submission, SubmittedTeam
 
@@ -35,7 +35,7 @@
     """
 
     spec: Submission
-    at: float
+    at: float = field(name="at")
     cancelled: bool = False
     cancelled_at: float = 0.0
 
@@ -71,7 +71,7 @@
 
     node: str
     epoch: int
-    boot: str = ""
+    boot: str = field(name="boot", default="")
 
 
 class MemberRecord(Struct):
@@ -84,10 +84,10 @@
     """
 
     node: str
-    boot: str
+    boot: str = field(name="boot")
     area: str
-    unfit: list[str] = []
-    dark: list[str] = []
+    unfit: list[str] = field(name="unfit", default=[])
+    dark: list[str] = field(name="dark", default=[])
     version: int = 0
 
 
@@ -95,7 +95,7 @@
     """The leading controller."""
 
     node: str
-    boot: str
+    boot: str = field(name="boot")
 
 
 class MachineRecord(Struct):
@@ -104,7 +104,7 @@
     type: str
     spot: bool
     addr: str
-    open: bool = True
+    open: bool = field(name="open", default=True)
 
 
 class FinalRecord(Struct):
