--- a/spurarch/coordination/allocation_changes.py
+++ b/spurarch/coordination/allocation_changes.py
@@ -18,7 +18,7 @@
 
 def save_grace_s(spec: wire.Submission) -> float:
     """How long a task that is told to leave gets to save its progress; 0 if it never saves."""
-    return spec.save_s * SAVE_FACTOR + SAVE_MARGIN_S if spec.checkpoint_s > 0 else 0.0
+    return spec.checkpoint_duration_s * SAVE_FACTOR + SAVE_MARGIN_S if spec.checkpoint_interval_s > 0 else 0.0
 
 
 def is_live_gang(state: State, job: str) -> bool:
--- a/spurarch/coordination/command_sender.py
+++ b/spurarch/coordination/command_sender.py
@@ -84,12 +84,12 @@
             log.debug("no answer from %s: %s", machine.name, err)
             partition.direct_lost(machine, sent, err.sent)
             return
-        report = None
+        heartbeat = None
         if status in (200, 409):
             try:
-                report = wire.report_decoder.decode(answer)
+                heartbeat = wire.heartbeat_decoder.decode(answer)
             except msgspec.DecodeError as err:
                 log.warning("unreadable answer from %s: %s", machine.name, err)
-        partition.direct_answered(machine, sent, report, time.monotonic())
+        partition.direct_answered(machine, sent, heartbeat, time.monotonic())
         if partition.over:
             await owned.wakeup.set()
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -59,10 +59,10 @@
     async def run(self) -> None:
         """Ends when the controller has to begin anew in another history."""
 
-    def observe(self, report: wire.Report) -> None:
+    def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Looks at a worker's report for signs of loss."""
 
-    async def on_report(self, report: wire.Report) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
         """Answers a report while the records may not be believed."""
 
     def on_frame(self, frame: bytes) -> bytes | None:
@@ -235,8 +235,8 @@
 
     async def _route(self, request: Request) -> Response:
         path = request.target.split("?", 1)[0]
-        if path == wire.PATH_REPORT:
-            return await self._report(request) if request.method == "POST" else error(405, "use POST")
+        if path == wire.PATH_HEARTBEAT:
+            return await self._heartbeat(request) if request.method == "POST" else error(405, "use POST")
         if path == wire.PATH_HEALTH:
             return self._health() if request.method == "GET" else error(405, "use GET")
         if path == wire.PATH_JOBS:
@@ -249,16 +249,16 @@
                 return await self.users.cancel(ref) if request.method == "POST" else error(405, "use POST")
         return error(404, "no such path")
 
-    async def _report(self, request: Request) -> Response:
+    async def _heartbeat(self, request: Request) -> Response:
         try:
-            report = wire.report_decoder.decode(request.body)
+            heartbeat = wire.heartbeat_decoder.decode(request.body)
         except (msgspec.DecodeError, UnicodeDecodeError) as err:
             return error(400, str(err))
         if self._recovery is not None:
-            self._recovery.observe(report)
+            self._recovery.observe(heartbeat)
             if self._recovery.closed:
-                return Response(*await self._recovery.on_report(report))
-        status, body = await self.owner.on_report(report, time.monotonic())
+                return Response(*await self._recovery.on_heartbeat(heartbeat))
+        status, body = await self.owner.on_heartbeat(heartbeat, time.monotonic())
         return Response(status, body)
 
     def _health(self) -> Response:
--- a/spurarch/coordination/failures.py
+++ b/spurarch/coordination/failures.py
@@ -44,17 +44,17 @@
     def judge(self, machine: Machine, run: TaskAttempt, now: float) -> None:
         """Learns from the way a task ended."""
         backoff = self.backoffs[run.where.job]
-        if run.why == wire.WHY_ERROR:
+        if run.why == wire.REASON_ERROR:
             self._blame(machine, backoff)
             backoff.back_off(now)
             log.info("task %s/%d failed on %s (attempt %d)", *run.key, machine.name, run.attempt)
             if machine.failures >= FAULTS_BEFORE_PAUSE:
                 machine.avoid_until = now + FAULT_PAUSE_S * machine.failures
-        elif run.why in (wire.WHY_NO_ROOM, wire.WHY_BUSY):
+        elif run.why in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
             machine.pause_until = now + REFUSAL_PAUSE_S
-        elif run.why == wire.WHY_UNKNOWN:
+        elif run.why == wire.REASON_UNKNOWN_TASK:
             backoff.back_off(now)
-        elif run.why == wire.WHY_DONE:
+        elif run.why == wire.REASON_DONE:
             backoff.failures, backoff.good = 0, True
             machine.failures = 0
 
--- a/spurarch/coordination/gang.py
+++ b/spurarch/coordination/gang.py
@@ -103,7 +103,7 @@
         return GangState.STARTING
 
     def _completed(self) -> bool:
-        if any(member.why == wire.WHY_DONE for member in self.members.values()):
+        if any(member.why == wire.REASON_DONE for member in self.members.values()):
             return True
         return any(entry.state == records.ENDED for entry in self._all_entries())
 
--- a/spurarch/coordination/machine.py
+++ b/spurarch/coordination/machine.py
@@ -136,7 +136,7 @@
     emptying: bool = False  # consolidation lets its tasks end or move, and sends it no new ones
     return_after: float = 0.0
     direct_after: float = 0.0
-    tasks_seen: list[wire.TaskReport] | None = None  # what the newest report showed, unless tasks were assigned since
+    tasks_seen: list[wire.TaskStatus] | None = None  # what the newest report showed, unless tasks were assigned since
 
     def advance(self, standing: Standing) -> bool:
         """Changes the standing if that is a step a machine can take."""
@@ -183,11 +183,11 @@
     wire.FETCHING: Phase.FETCHING,
     wire.GATHERING: Phase.GATHERING,
     wire.RUNNING: Phase.RUNNING,
-    wire.SAVING: Phase.STOPPING,
+    wire.CHECKPOINTING: Phase.STOPPING,
     wire.EXITED: Phase.EXITED,
 }
 
 
-def observed_phase(task: wire.TaskReport) -> Phase | None:
+def observed_phase(task: wire.TaskStatus) -> Phase | None:
     """The phase that a report shows, or None for a state that this version does not know."""
     return _OBSERVED.get(task.state)
--- a/spurarch/coordination/partition.py
+++ b/spurarch/coordination/partition.py
@@ -238,7 +238,7 @@
                 table.setdefault(where, {})[run.index] = run
         self._drop_empty(run.where)
         self._by_job[where.job].add(where)
-        if run.phase >= Phase.EXITED and run.why != wire.WHY_DONE:
+        if run.phase >= Phase.EXITED and run.why != wire.REASON_DONE:
             self._restarting.add(where)
         run.where = where
 
@@ -265,7 +265,7 @@
                 del machine.runs[run.key]
             if run.phase is Phase.EXITED:
                 machine.forget[run.key] = run.attempt
-                if self.coverage is not None and run.why == wire.WHY_DONE:
+                if self.coverage is not None and run.why == wire.REASON_DONE:
                     machine.unarchived[run.key] = self.coverage.recorded()
 
     def step(self, run: TaskAttempt, phase: Phase, why: str | None = None) -> bool:
@@ -276,7 +276,7 @@
             run.over_at = self.now
             self.occasions += 1
             self.over[run.where][run.index] = run
-            if phase is Phase.GONE or why != wire.WHY_DONE:
+            if phase is Phase.GONE or why != wire.REASON_DONE:
                 self._restarting.add(run.where)
         self.gangs.note(run.where.job)
         return True
@@ -296,7 +296,7 @@
 
     # Reports
 
-    def on_report(self, report: wire.Report, now: float, commanding: bool = True) -> list[wire.Command] | None:
+    def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float, commanding: bool = True) -> list[wire.Command] | None:
         """Takes a report in and returns the commands of its answer; None if it must not be answered with 200.
 
         A report may be a copy of any age, or come in an order that can't be: only one newer than the newest seen, of a
@@ -304,43 +304,49 @@
         keeps the worker's lease: this owner may have been deposed.
         """
         self.now = now
-        if report.machine in self._returned:
-            self._note_strange(report, "it was returned")
+        if heartbeat.machine in self._returned:
+            self._note_strange(heartbeat, "it was returned")
             return None
-        if report.token > self.base + self._counter:
+        if heartbeat.fencing_token > self.base + self._counter:
             # A later owner has spoken to this worker, or the report makes no sense.
-            self._note_strange(report, "its token is not ours")
+            self._note_strange(heartbeat, "its token is not ours")
             return None
-        machine = self._machine(report)
-        if machine.standing is Standing.GONE or report.session <= machine.lost_session:
+        machine = self._machine(heartbeat)
+        if machine.standing is Standing.GONE or heartbeat.incarnation <= machine.lost_session:
             return None
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.incarnation, heartbeat.seq) <= (machine.session, machine.seq):
             return []  # something newer was seen: nothing to learn, though its sender may still wait
-        self.observe(machine, report, now)
+        self.observe(machine, heartbeat, now)
         self._ask(machine, now)
         if not commanding or machine.standing is not Standing.KNOWN:
             return []
         if not self.ready:
-            return self._stop_cancelled(report)
-        self._prove_absent(machine, report)
+            return self._stop_cancelled(heartbeat)
+        self._prove_absent(machine, heartbeat)
         self._settle_gangs()
-        commands = self.commands(machine, report)
+        commands = self.commands(machine, heartbeat)
         for run in machine.runs.values():
             if run.phase is Phase.STARTING:
-                run.sent_seq = report.seq
+                run.sent_seq = heartbeat.seq
         return commands
 
-    def _note_strange(self, report: wire.Report, reason: str) -> None:
-        if report.machine not in self._strange and len(self._strange) < STRANGE_KEPT:
-            self._strange.add(report.machine)
-            log.info("report of %s (session %d, %d) not taken: %s", report.machine, report.session, report.seq, reason)
-
-    def _machine(self, report: wire.Report) -> Machine:
-        machine = self.machines.get(report.machine)
+    def _note_strange(self, heartbeat: wire.Heartbeat, reason: str) -> None:
+        if heartbeat.machine not in self._strange and len(self._strange) < STRANGE_KEPT:
+            self._strange.add(heartbeat.machine)
+            log.info(
+                "report of %s (session %d, %d) not taken: %s",
+                heartbeat.machine,
+                heartbeat.incarnation,
+                heartbeat.seq,
+                reason,
+            )
+
+    def _machine(self, heartbeat: wire.Heartbeat) -> Machine:
+        machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            return self._new_machine(report.machine, report.type, report.spot, report.addr)
+            return self._new_machine(heartbeat.machine, heartbeat.type, heartbeat.spot, heartbeat.addr)
         if machine.standing is not Standing.KNOWN and not machine.type:
-            machine.type, machine.spot, machine.addr = report.type, report.spot, report.addr
+            machine.type, machine.spot, machine.addr = heartbeat.type, heartbeat.spot, heartbeat.addr
         return machine
 
     def _ask(self, machine: Machine, now: float) -> None:
@@ -359,30 +365,30 @@
         if machine.standing is Standing.UNKNOWN and machine.asked_at is None:
             machine.asked_at = now
 
-    def observe(self, machine: Machine, report: wire.Report, now: float) -> None:
+    def observe(self, machine: Machine, heartbeat: wire.Heartbeat, now: float) -> None:
         """Takes in what a report or the answer to a direct command shows, unless something newer was seen.
 
         A machine becomes known with the first message that shows a token chosen for it since it became known of here.
         Copies of older messages can't: neither one alone nor several in a row bring a returned machine back, or make a
         new owner believe that a silent one lives.
         """
-        if (report.session, report.seq) <= (machine.session, machine.seq):
+        if (heartbeat.incarnation, heartbeat.seq) <= (machine.session, machine.seq):
             return
-        if not self.base + machine.birth <= report.token <= self.base + self._counter:
+        if not self.base + machine.birth <= heartbeat.fencing_token <= self.base + self._counter:
             return
-        if report.session > machine.session:
+        if heartbeat.incarnation > machine.session:
             for run in list(machine.runs.values()):
-                if run.session < report.session:
+                if run.session < heartbeat.incarnation:
                     self.step(run, Phase.GONE)
             machine.forget.clear()
             machine.fence = 0  # commands name their session
             machine.revoked_at = None  # what was on it is gone
-        machine.session, machine.seq = report.session, report.seq
+        machine.session, machine.seq = heartbeat.incarnation, heartbeat.seq
         machine.heard_at = now
-        machine.type, machine.spot, machine.addr = report.type, report.spot, report.addr
-        machine.token_seen = max(machine.token_seen, report.token)
-        if report.token - self.base > machine.shown:
-            machine.shown = report.token - self.base
+        machine.type, machine.spot, machine.addr = heartbeat.type, heartbeat.spot, heartbeat.addr
+        machine.token_seen = max(machine.token_seen, heartbeat.fencing_token)
+        if heartbeat.fencing_token - self.base > machine.shown:
+            machine.shown = heartbeat.fencing_token - self.base
             machine.confirmed_at = now
             if machine.shown >= machine.counter:
                 machine.asked_at = None
@@ -390,12 +396,12 @@
         if machine.advance(Standing.KNOWN):
             self.grew_at = now
             self.occasions += 1
-        machine.notice_until = None if report.notice_s is None else now + report.notice_s
-        if report.notice_s is not None:
-            self._save_gangs(machine, report.notice_s)
-        if report.tasks != machine.tasks_seen:
-            machine.tasks_seen = report.tasks
-            for task in report.tasks:
+        machine.notice_until = None if heartbeat.termination_notice_s is None else now + heartbeat.termination_notice_s
+        if heartbeat.termination_notice_s is not None:
+            self._save_gangs(machine, heartbeat.termination_notice_s)
+        if heartbeat.tasks != machine.tasks_seen:
+            machine.tasks_seen = heartbeat.tasks
+            for task in heartbeat.tasks:
                 self._observe_task(machine, task, now)
         if machine.runs:
             self.attention[machine.name] = None
@@ -409,7 +415,7 @@
             if 0 < gang.save_grace_s < notice_s - NOTICE_MARGIN_S:
                 self._stop_one(run, gang.save_grace_s)
 
-    def _observe_task(self, machine: Machine, task: wire.TaskReport, now: float) -> None:
+    def _observe_task(self, machine: Machine, task: wire.TaskStatus, now: float) -> None:
         parsed = wire.split_task(task.task)
         run = machine.runs.get(parsed) if parsed else None
         if run is None or run.attempt != task.attempt:
@@ -418,7 +424,7 @@
         if phase is None:
             self._note_unknown_state(task.state)
             return
-        if self.step(run, phase, task.why):
+        if self.step(run, phase, task.exit_reason):
             if phase is Phase.RUNNING:
                 run.running_at = now
             if phase in (Phase.GATHERING, Phase.RUNNING):
@@ -434,19 +440,19 @@
             self._unknown_states.add(state)
             log.warning("workers report the unknown task state %r", state)
 
-    def _prove_absent(self, machine: Machine, report: wire.Report) -> None:
+    def _prove_absent(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         """A task that has to go and is not in the report is off the machine, if no start can still be on its way."""
         stopping = [run for run in machine.runs.values() if run.stop]
         if not stopping or not machine.fenced:
             return
-        listed = {wire.split_task(t.task) for t in report.tasks}
+        listed = {wire.split_task(t.task) for t in heartbeat.tasks}
         for run in stopping:
-            if run.key not in listed and report.seq > run.sent_seq:
+            if run.key not in listed and heartbeat.seq > run.sent_seq:
                 self.step(run, Phase.GONE)
 
     # Commands
 
-    def commands(self, machine: Machine, report: wire.Report | None) -> list[wire.Command]:
+    def commands(self, machine: Machine, heartbeat: wire.Heartbeat | None) -> list[wire.Command]:
         """What the worker should do now. Every command may be repeated, but a start after a forget.
 
         Ends are forgotten first, so that a worker does not refuse a task whose earlier attempt it still lists.
@@ -458,8 +464,8 @@
             if self.coverage is not None:
                 forget = self._archived(machine, self.coverage)
             out += [wire.Command(wire.FORGET, wire.task_name(*k), a) for k, a in forget.items()]
-        if report is not None:
-            out += self._clean(machine, report)
+        if heartbeat is not None:
+            out += self._clean(machine, heartbeat)
         for run in machine.runs.values():
             if run.stop:
                 if run.phase < Phase.EXITED and not self._saving(run):
@@ -505,7 +511,7 @@
         gang = self.gangs.get(run.where.job)
         return gang is None or gang.startable
 
-    def _stop_cancelled(self, report: wire.Report) -> list[wire.Command]:
+    def _stop_cancelled(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Stops what is known to be cancelled.
 
         That needs no record, and may have to be done before the records can be read: a part may change hands just
@@ -513,17 +519,17 @@
         """
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
-            for task in report.tasks
+            for task in heartbeat.tasks
             if task.state != wire.EXITED
             and (key := wire.split_task(task.task))
             and self.cancelled_ago(key[0]) is not None
         ]
 
-    def _clean(self, machine: Machine, report: wire.Report) -> list[wire.Command]:
+    def _clean(self, machine: Machine, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Stops and forgets what no record puts on this machine."""
         out: list[wire.Command] = []
         kept: dict[tuple[str, int], int] = {}
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             key = wire.split_task(task.task)
             run = machine.runs.get(key) if key else None
             if run is not None and run.attempt == task.attempt:
@@ -567,31 +573,31 @@
         ]
 
     def direct_answered(
-        self, machine: Machine, sent: wire.DirectCommands, report: wire.Report | None, now: float
+        self, machine: Machine, sent: wire.DirectCommands, heartbeat: wire.Heartbeat | None, now: float
     ) -> None:
         """An answer to direct commands came: executed or refused, they are not on their way any more."""
         machine.in_flight -= 1
-        if report is None or report.machine != machine.name:
+        if heartbeat is None or heartbeat.machine != machine.name:
             return
         for command in sent.commands:
             key = wire.split_task(command.task)
             run = machine.runs.get(key) if key else None
-            if run is not None and command.op == wire.START and report.session == machine.session:
-                run.sent_seq = max(run.sent_seq, report.seq)
-            executed = report.session == sent.session and report.token <= sent.token
+            if run is not None and command.op == wire.START and heartbeat.incarnation == machine.session:
+                run.sent_seq = max(run.sent_seq, heartbeat.seq)
+            executed = heartbeat.incarnation == sent.incarnation and heartbeat.fencing_token <= sent.fencing_token
             if run is not None and command.op == wire.STOP and executed and run.attempt == command.attempt:
                 run.stop_heard_at = now
         self.now = now
-        self.observe(machine, report, now)
+        self.observe(machine, heartbeat, now)
         self._settle_gangs()
 
     def direct_lost(self, machine: Machine, sent: wire.DirectCommands, reached: bool) -> None:
         """Direct commands got no answer: they may act minutes later, so the machine gets a higher token."""
         machine.in_flight -= 1
-        if reached and machine.session == sent.session:
-            if machine.counter <= sent.token - self.base:
+        if reached and machine.session == sent.incarnation:
+            if machine.counter <= sent.fencing_token - self.base:
                 machine.counter = self._next_counter()
-            machine.fence = max(machine.fence, sent.token + 1)
+            machine.fence = max(machine.fence, sent.fencing_token + 1)
 
     # Time
 
@@ -720,7 +726,7 @@
         return where in self._restarting or state.jobs[where.job].spec.kind == wire.SERVICE
 
     def _outcome(self, state: State, run: TaskAttempt) -> int:
-        done = run.phase is Phase.EXITED and run.why == wire.WHY_DONE and not self._is_service(state, run)
+        done = run.phase is Phase.EXITED and run.why == wire.REASON_DONE and not self._is_service(state, run)
         gang = self.gangs.get(run.where.job)
         if gang is not None and gang.state is GangState.ENDED:
             return records.ENDED  # members complete together, also those whose own report never came
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -45,7 +45,7 @@
 GATHER_SCARCE_S = 6.0
 SCARCE_LEVEL = 0.5
 CLEAN_S = 10.0
-SILENT_REPORTS = 2.5
+SILENT_HEARTBEATS = 2.5
 STRANGERS_S = 5.0  # a worker that looks for its owner comes by more often than that
 MOVE_S = 15.0
 SEARCH_PUT_OFF_S = 30.0  # at most, while the event loop is late
@@ -93,23 +93,30 @@
         self._wakeup = replica.listen()
         self._changed_keys = replica.state.subscribe()
         self._commands = CommandSender(
-            network, self.permissions, SILENT_REPORTS * deployment.workers.report_s, deployment.limits.sockets
+            network,
+            self.permissions,
+            SILENT_HEARTBEATS * deployment.workers.heartbeat_interval_s,
+            deployment.limits.sockets,
         )
         self._random = Random(tuning.seed)
         self._coverage = coverage
 
     # Reports
 
-    async def on_report(self, report: wire.Report, now: float) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> tuple[int, bytes]:
         """Answers a report: 200 as owner, 421 to steer the worker, 503 if nobody can tell."""
-        heard = self.reachability.parts.get(report.zone)
-        partition = self.replica.state.parts.get(report.zone)
-        if self.permissions.superseded(report.zone) and heard is not None and self.reachability.answers(heard[0], now):
-            return 421, wire.encode(wire.Steer(heard[0]))  # a peer told us
-        if self.membership.holds(report.zone) is None:
-            lost = report.zone in self.view.dark()
-            if report.zone in self.deployment.zones:
-                self._strangers.setdefault(report.zone, {})[report.machine] = now
+        heard = self.reachability.parts.get(heartbeat.zone)
+        partition = self.replica.state.parts.get(heartbeat.zone)
+        if (
+            self.permissions.superseded(heartbeat.zone)
+            and heard is not None
+            and self.reachability.answers(heard[0], now)
+        ):
+            return 421, wire.encode(wire.Redirect(heard[0]))  # a peer told us
+        if self.membership.holds(heartbeat.zone) is None:
+            lost = heartbeat.zone in self.view.dark()
+            if heartbeat.zone in self.deployment.zones:
+                self._strangers.setdefault(heartbeat.zone, {})[heartbeat.machine] = now
             if lost:
                 # Its owner believes that nobody hears it. Sent back there, the worker would lose what is left of its
                 # lease; the next controller may know of another owner.
@@ -117,18 +124,18 @@
                 return 421, b"{}"
             if partition is None or partition.node == self.membership.node:
                 return 503, wire.encode(wire.ErrorBody("the owner of this zone is not known yet"))
-            return 421, wire.encode(wire.Steer(partition.node))
+            return 421, wire.encode(wire.Redirect(partition.node))
         if not self.permissions.answers(now):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        owned = self._own(report.zone, now)
+        owned = self._own(heartbeat.zone, now)
         occasions = owned.partition.occasions
-        commands = owned.partition.on_report(report, now, self.permissions.steady(now))
+        commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.steady(now))
         if commands is None:
             return 503, wire.encode(wire.ErrorBody("not entitled to this worker"))
-        machine = owned.partition.machines[report.machine]
+        machine = owned.partition.machines[heartbeat.machine]
         if owned.partition.occasions != occasions:
             await owned.wakeup.set()
-        return 200, wire.encode(wire.ReportAnswer(owned.partition.token(machine), commands))
+        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.token(machine), commands))
 
     def strangers(self, now: float) -> list[tuple[str, int]]:
         """By zone, workers that reported here of late though another holds their zone."""
@@ -151,7 +158,7 @@
                     self.view.ledger.violations,
                 ),
                 self.tuning,
-                SILENT_REPORTS * self.deployment.workers.report_s,
+                SILENT_HEARTBEATS * self.deployment.workers.heartbeat_interval_s,
             )
             owned.partition.cancelled_ago = self.permissions.cancelled_ago
             if self._coverage is not None:
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/release_candidates.py
@@ -13,12 +13,12 @@
 from spurarch.storage.replica import State
 
 CUT_SILENCE_S = 2.5
-CUT_REPORTS = 2.2
-SUSPECT_REPORTS, SUSPECT_SHARE = 1.6, 1 / 3
+CUT_OFF_HEARTBEATS = 2.2
+SUSPECT_HEARTBEATS, SUSPECT_SHARE = 1.6, 1 / 3
 FIND_S = 5.5
 LOST_LEASES = 3.0
 OVERDUE, OVERDUE_UNHEARD = 0.4, 0.8  # of the time that a cancellation has
-OVERDUE_REPORTS = 4.0
+OVERDUE_HEARTBEATS = 4.0
 
 
 def cut_off(partition: Partition, workers: Workers, now: float, woke_at: float = 0.0) -> bool:
@@ -27,7 +27,7 @@
     Returning them would throw away a zone of healthy machines that report to another controller by now. Silence counts
     from `woke_at` at the earliest: before that this process itself stood still.
     """
-    limit = max(CUT_SILENCE_S, CUT_REPORTS * workers.report_s)
+    limit = max(CUT_SILENCE_S, CUT_OFF_HEARTBEATS * workers.heartbeat_interval_s)
     silent = total = 0
     for machine in partition.machines.values():
         if machine.returning or machine.standing is Standing.GONE:
@@ -69,7 +69,10 @@
     limit for a cut: a quarter of a healthy zone was once returned in that second.
     """
     known = [m for m in partition.machines.values() if m.standing is Standing.KNOWN and not m.returning]
-    late = sum(now - max(m.heard_at or m.first_seen, woke_at) > SUSPECT_REPORTS * workers.report_s for m in known)
+    late = sum(
+        now - max(m.heard_at or m.first_seen, woke_at) > SUSPECT_HEARTBEATS * workers.heartbeat_interval_s
+        for m in known
+    )
     return late >= 2 and late > SUSPECT_SHARE * len(known)
 
 
@@ -93,7 +96,7 @@
     if machine.standing is Standing.LOST:
         # Its tasks are free already. A zone that was cut off comes back, and its machines with it.
         return now - max(machine.heard_at or machine.first_seen, woke_at) > LOST_LEASES * workers.lease_s
-    patience = max(tuning.silent_return_s, 2.5 * workers.report_s) if machine.runs else workers.lease_s * 2
+    patience = max(tuning.silent_return_s, 2.5 * workers.heartbeat_interval_s) if machine.runs else workers.lease_s * 2
     if machine.deaf:
         return now - max(machine.asked_at or now, woke_at) > patience
     return now - max(machine.heard_at or machine.first_seen, woke_at) > patience
@@ -117,7 +120,7 @@
             del partition.revoking[name]
             continue
         share = OVERDUE_UNHEARD if cut or machine.standing is Standing.UNKNOWN else OVERDUE
-        if now - since > share * workers.cancel_s and now - woke_at > OVERDUE_REPORTS * workers.report_s:
+        if now - since > share * workers.cancel_s and now - woke_at > OVERDUE_HEARTBEATS * workers.heartbeat_interval_s:
             out.append(machine)
     return [m for m in out if not m.returning]
 
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/renting.py
@@ -161,7 +161,7 @@
         self._hires += 1
         kind = order.kind
         # The process's own nonce keeps a name from ever being used again, by whichever controller.
-        rental = wire.Rental(f"{self._boot}-{self._hires}", kind.type, kind.zone, kind.spot, order.count)
+        rental = wire.ScaleOutRequest(f"{self._boot}-{self._hires}", kind.type, kind.zone, kind.spot, order.count)
         for _ in range(3):
             try:
                 names = await self._cloud.rent(rental, self._still)
@@ -171,7 +171,7 @@
                 self._closed[kind] = time.monotonic() + self._tuning.capacity_backoff_s
                 return
             except CloudError as err:
-                log.info("rental %s: %s", rental.request, err)
+                log.info("rental %s: %s", rental.request_id, err)
                 if not err.unsure:
                     return
         else:
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/users.py
@@ -71,7 +71,7 @@
             spec = wire.submission_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as err:
             return error(400, str(err))
-        if not wire.REF.fullmatch(spec.id):
+        if not wire.JOB_ID_PATTERN.fullmatch(spec.id):
             return error(400, "ref: not a job id")
         if not _finite(spec):
             return error(400, "an amount is out of range")
@@ -150,7 +150,7 @@
 
     async def poll(self, ref: str) -> Response:
         """GET of a job."""
-        if not wire.REF.fullmatch(ref):
+        if not wire.JOB_ID_PATTERN.fullmatch(ref):
             return error(404, "no such job")
         try:
             return await self._known(ref) or self._unknown()
@@ -159,7 +159,7 @@
 
     async def cancel(self, ref: str) -> Response:
         """POST of a cancellation."""
-        if not wire.REF.fullmatch(ref):
+        if not wire.JOB_ID_PATTERN.fullmatch(ref):
             return error(404, "no such job")
         try:
             for _ in range(4):
@@ -240,5 +240,13 @@
 
 
 def _finite(spec: wire.Submission) -> bool:
-    amounts = (spec.cpus, spec.gpus, spec.memory_gb, spec.image_gb, spec.estimate_s, spec.checkpoint_s, spec.save_s)
+    amounts = (
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.image_gb,
+        spec.estimate_s,
+        spec.checkpoint_interval_s,
+        spec.checkpoint_duration_s,
+    )
     return all(0 <= amount <= 1e9 for amount in amounts)
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct
 
-from spurarch.protocol.wire import Report
+from spurarch.protocol.wire import Heartbeat
 
 
 class StoredRecord(Struct, array_like=True):
@@ -60,7 +60,7 @@
     position: int
 
 
-class ReportsRequest(Struct, tag="reports?", array_like=True):
+class HeartbeatsRequest(Struct, tag="reports?", array_like=True):
     """Asks for workers' reports that came after so many others, in answer to the token of an epoch."""
 
     node: str
@@ -68,15 +68,15 @@
     after: int
 
 
-class ReportsPage(Struct, tag="reports", array_like=True):
+class HeartbeatsPage(Struct, tag="reports", array_like=True):
     """Newest reports of workers, how many have come so far, and the highest partition epoch that any worker showed."""
 
-    reports: list[Report]
+    heartbeats: list[Heartbeat]
     position: int
     highest_epoch: int
 
 
-RecoveryMessage = RevisionRequest | RevisionAnswer | EvidenceRequest | EvidencePage | ReportsRequest | ReportsPage
+RecoveryMessage = RevisionRequest | RevisionAnswer | EvidenceRequest | EvidencePage | HeartbeatsRequest | HeartbeatsPage
 
 encode = msgspec.msgpack.encode
 _decoder = msgspec.msgpack.Decoder(RecoveryMessage)
--- a/spurarch/protocol/wire.py
+++ b/spurarch/protocol/wire.py
@@ -15,7 +15,7 @@
 T = TypeVar("T")
 
 MAX_TASKS = 100_000
-REF = re.compile(r"job-[0-9]{1,24}")
+JOB_ID_PATTERN = re.compile(r"job-[0-9]{1,24}")
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
@@ -24,7 +24,7 @@
 PATH_JOBS = "/submissions"
 PATH_CANCEL = "cancel"
 PATH_HEALTH = "/up"
-PATH_REPORT = "/agent/beat"
+PATH_HEARTBEAT = "/agent/beat"
 PATH_COMMANDS = "/do"
 PATH_TYPES = "/machine_types"
 PATH_MACHINES = "/machines"
@@ -39,10 +39,10 @@
 PRIORITIES = {"production": 0, "high": 1, "normal": 2, "low": 3}
 QUEUED, RUNNING, DONE, CANCELLED = "pending", "running", "done", "aborted"
 
-FETCHING, GATHERING, SAVING, EXITED = "fetching", "gathering", "saving", "ended"
-WHY_DONE, WHY_ERROR, WHY_STOPPED = "done", "error", "halted"
-WHY_PEERS, WHY_INCOMPLETE = "peers", "incomplete"
-WHY_NO_ROOM, WHY_BUSY, WHY_UNKNOWN = "full", "in_use", "no_such"
+FETCHING, GATHERING, CHECKPOINTING, EXITED = "fetching", "gathering", "saving", "ended"
+REASON_DONE, REASON_ERROR, REASON_STOPPED = "done", "error", "halted"
+REASON_PEER_LOST, REASON_GANG_INCOMPLETE = "peers", "incomplete"
+REASON_NO_CAPACITY, REASON_TASK_PRESENT, REASON_UNKNOWN_TASK = "full", "in_use", "no_such"
 
 START, STOP, FORGET = "run", "halt", "forget"
 BOOTING, FAILED = "booting", "failed"
@@ -66,8 +66,8 @@
     spread: bool
     spot: bool = field(name="lendable")
     estimate_s: Amount = field(name="reckon_s")
-    checkpoint_s: Amount = field(name="waypoint_s")
-    save_s: Amount = field(name="stow_s")
+    checkpoint_interval_s: Amount = field(name="waypoint_s")
+    checkpoint_duration_s: Amount = field(name="stow_s")
     types: Annotated[list[Name], Meta(max_length=1000)] | None = field(name="builds", default=None)
     zone: Name | None = field(name="district", default=None)
     deadline_s: Amount | None = field(name="cutoff_s", default=None)
@@ -88,29 +88,29 @@
     running: int | None = None
 
 
-class TaskReport(Struct):
+class TaskStatus(Struct):
     """One task in a worker's report."""
 
     task: Name = field(name="leg")
     attempt: Count = field(name="try")
     state: str = field(name="standing")
-    why: str | None = field(name="cause", default=None)
-    saved: bool | None = field(name="stored", default=None)
+    exit_reason: str | None = field(name="cause", default=None)
+    checkpointed: bool | None = field(name="stored", default=None)
 
 
-class Report(Struct):
+class Heartbeat(Struct):
     """A worker's report."""
 
     machine: Name = field(name="croft")
     addr: Name
     type: Name = field(name="build")
     zone: Name = field(name="district")
-    session: Count = field(name="tenure")
+    incarnation: Count = field(name="tenure")
     seq: Count = field(name="tally")
-    token: Annotated[int, Meta(ge=0)] = field(name="baton")
-    tasks: list[TaskReport] = field(name="legs")
+    fencing_token: Annotated[int, Meta(ge=0)] = field(name="baton")
+    tasks: list[TaskStatus] = field(name="legs")
     spot: bool = field(name="lendable", default=False)
-    notice_s: float | None = field(name="warning_s", default=None)
+    termination_notice_s: float | None = field(name="warning_s", default=None)
 
 
 class Command(Struct, omit_defaults=True):
@@ -122,24 +122,24 @@
     grace_s: float | None = field(name="leeway_s", default=None)
 
 
-class ReportAnswer(Struct):
+class HeartbeatResponse(Struct):
     """The answer to a report."""
 
-    token: int = field(name="baton")
+    fencing_token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
-class Steer(Struct, omit_defaults=True):
+class Redirect(Struct, omit_defaults=True):
     """Sends a worker to the controller that holds its machine."""
 
-    report_to: str | None = field(name="steward", default=None)
+    node: str | None = field(name="steward", default=None)
 
 
 class DirectCommands(Struct):
     """Orders sent to a worker's own address."""
 
-    token: int = field(name="baton")
-    session: int = field(name="tenure")
+    fencing_token: int = field(name="baton")
+    incarnation: int = field(name="tenure")
     commands: list[Command] = field(name="orders")
 
 
@@ -164,10 +164,10 @@
     types: list[MachineType] = field(name="builds")
 
 
-class Rental(Struct):
+class ScaleOutRequest(Struct):
     """A request for machines."""
 
-    request: str = field(name="hire")
+    request_id: str = field(name="hire")
     type: str = field(name="build")
     zone: str = field(name="district")
     spot: bool = field(name="lendable")
@@ -287,7 +287,7 @@
 
 encode = msgspec.json.encode
 submission_decoder = msgspec.json.Decoder(Submission)
-report_decoder = msgspec.json.Decoder(Report)
+heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 types_decoder = msgspec.json.Decoder(MachineTypes)
 names_decoder = msgspec.json.Decoder(MachineNames)
 list_decoder = msgspec.json.Decoder(MachineList)
--- a/spurarch/recovery/collector.py
+++ b/spurarch/recovery/collector.py
@@ -13,24 +13,24 @@
 from spurarch.coordination.partition import TOKEN_BITS
 from spurarch.protocol import wire
 
-PAGE_REPORTS = 200
+PAGE_HEARTBEATS = 200
 
 
-class ReportCollector:
+class HeartbeatCollector:
     """Reports that came to this controller, newest for each worker, in the order of their coming."""
 
     def __init__(self, may_answer: Callable[[float], bool], cancelled: Callable[[str], bool]) -> None:
         self._may_answer, self._cancelled = may_answer, cancelled
         self.epoch = 0  # of the rebuilding under way; 0 while there is none
         self.highest_epoch = 0  # that any worker has shown, other than that one
-        self._reports: dict[str, wire.Report] = {}
+        self._heartbeats: dict[str, wire.Heartbeat] = {}
         self._arrivals: list[str] = []
 
     def begin(self, epoch: int) -> None:
         """A rebuilding gives tokens of this epoch."""
         if epoch != self.epoch:
             self.epoch = epoch
-            self._reports.clear()
+            self._heartbeats.clear()
             self._arrivals.clear()
 
     @property
@@ -38,40 +38,40 @@
         """What workers are given."""
         return self.epoch << TOKEN_BITS
 
-    def on_report(self, report: wire.Report) -> tuple[int, bytes]:
+    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
         """Takes a report in; 200 keeps the worker's lease, 503 sends it on."""
-        shown = report.token >> TOKEN_BITS
+        shown = heartbeat.fencing_token >> TOKEN_BITS
         if shown != self.epoch:
             self.highest_epoch = max(self.highest_epoch, shown)
-        if self.epoch and report.token == self.token:
-            self._keep(report)
-        if not self.epoch or report.token > self.token:
+        if self.epoch and heartbeat.fencing_token == self.token:
+            self._keep(heartbeat)
+        if not self.epoch or heartbeat.fencing_token > self.token:
             return 503, wire.encode(wire.ErrorBody("the records are being rebuilt"))
-        if not self._may_answer(time.monotonic()) and _runs_anything(report):
+        if not self._may_answer(time.monotonic()) and _runs_anything(heartbeat):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        return 200, wire.encode(wire.ReportAnswer(self.token, self._stops(report)))
+        return 200, wire.encode(wire.HeartbeatResponse(self.token, self._stops(heartbeat)))
 
-    def _stops(self, report: wire.Report) -> list[wire.Command]:
+    def _stops(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Cancelled tasks leave in time however long this takes; stopping them needs no record."""
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
-            for task in report.tasks
+            for task in heartbeat.tasks
             if task.state != wire.EXITED and (key := wire.split_task(task.task)) and self._cancelled(key[0])
         ]
 
-    def _keep(self, report: wire.Report) -> None:
-        known = self._reports.get(report.machine)
-        if known is None or (report.session, report.seq) > (known.session, known.seq):
-            self._reports[report.machine] = report
-            self._arrivals.append(report.machine)
+    def _keep(self, heartbeat: wire.Heartbeat) -> None:
+        known = self._heartbeats.get(heartbeat.machine)
+        if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
+            self._heartbeats[heartbeat.machine] = heartbeat
+            self._arrivals.append(heartbeat.machine)
 
-    def page(self, epoch: int, after: int) -> tuple[list[wire.Report], int]:
+    def page(self, epoch: int, after: int) -> tuple[list[wire.Heartbeat], int]:
         """Reports that show the token of an epoch and came after so many others, and how many have come by then."""
         if epoch != self.epoch:
             return [], 0
-        names = self._arrivals[after : after + PAGE_REPORTS]
-        return [self._reports[name] for name in dict.fromkeys(names)], after + len(names)
+        names = self._arrivals[after : after + PAGE_HEARTBEATS]
+        return [self._heartbeats[name] for name in dict.fromkeys(names)], after + len(names)
 
 
-def _runs_anything(report: wire.Report) -> bool:
-    return any(task.state != wire.EXITED for task in report.tasks)
+def _runs_anything(heartbeat: wire.Heartbeat) -> bool:
+    return any(task.state != wire.EXITED for task in heartbeat.tasks)
--- a/spurarch/recovery/evidence.py
+++ b/spurarch/recovery/evidence.py
@@ -80,13 +80,13 @@
     """
 
     sources: list[Source] = field(default_factory=list)
-    reports: dict[str, wire.Report] = field(default_factory=dict)
+    heartbeats: dict[str, wire.Heartbeat] = field(default_factory=dict)
     complete: bool = False
     uncertain: bool = False  # jobs without a trace were possible in the lost history already
     archived_answers: bool = False  # users were told only what the archive held
 
-    def take_report(self, report: wire.Report) -> None:
+    def add_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
         """Adds a worker's report unless something newer is known of it."""
-        known = self.reports.get(report.machine)
-        if known is None or (report.session, report.seq) > (known.session, known.seq):
-            self.reports[report.machine] = report
+        known = self.heartbeats.get(heartbeat.machine)
+        if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
+            self.heartbeats[heartbeat.machine] = heartbeat
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -167,8 +167,8 @@
         yield
         self._take_allocations()
         yield
-        for number, (_, report) in enumerate(sorted(self._evidence.reports.items())):
-            self._take_report(report)
+        for number, (_, heartbeat) in enumerate(sorted(self._evidence.heartbeats.items())):
+            self._apply_heartbeat(heartbeat)
             if number % STEP == STEP - 1:
                 yield
         for number, job in enumerate(sorted(out.jobs)):
@@ -264,8 +264,8 @@
             place = _Placement(entry.attempt, where.zone, entry.machine, entry.session)
             task.recorded = _higher(task.recorded, place)
 
-    def _take_report(self, report: wire.Report) -> None:
-        for seen in report.tasks:
+    def _apply_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
+        for seen in heartbeat.tasks:
             key = wire.split_task(seen.task)
             if key is None:
                 self._out.set_aside += 1
@@ -273,30 +273,30 @@
             job, index = key
             record = self._out.jobs.get(job)
             if record is None:
-                self._note_unknown(job, report, seen)
+                self._note_unknown(job, heartbeat, seen)
             elif index >= record.spec.tasks:
                 self._out.set_aside += 1
             else:
-                self._take_seen(record, report, seen, self._tasks[job][index])
+                self._take_seen(record, heartbeat, seen, self._tasks[job][index])
 
-    def _take_seen(self, record: JobRecord, report: wire.Report, seen: wire.TaskReport, task: _Task) -> None:
+    def _take_seen(self, record: JobRecord, heartbeat: wire.Heartbeat, seen: wire.TaskStatus, task: _Task) -> None:
         task.attempt = max(task.attempt, seen.attempt)
-        task.zone = task.zone or report.zone
+        task.zone = task.zone or heartbeat.zone
         if seen.state != wire.EXITED:
-            place = _Placement(seen.attempt, report.zone, report.machine, report.session)
+            place = _Placement(seen.attempt, heartbeat.zone, heartbeat.machine, heartbeat.incarnation)
             task.reported = _higher(task.reported, place)
-        elif seen.why == wire.WHY_DONE and record.spec.kind != wire.SERVICE:
+        elif seen.exit_reason == wire.REASON_DONE and record.spec.kind != wire.SERVICE:
             task.ended = True
 
-    def _note_unknown(self, job: str, report: wire.Report, seen: wire.TaskReport) -> None:
+    def _note_unknown(self, job: str, heartbeat: wire.Heartbeat, seen: wire.TaskStatus) -> None:
         """A task of a job that is over leaves by the ordinary way; one of a job that nobody knows is told as well."""
         if job not in self._out.finals and seen.state != wire.EXITED:
-            self._doubt(job, DoubtKind.UNKNOWN_JOB, f"runs on {report.machine}", 0)
+            self._doubt(job, DoubtKind.UNKNOWN_JOB, f"runs on {heartbeat.machine}", 0)
 
     def _placed(self, task: _Task) -> _Placement | None:
         """Where the task is, or may be."""
         place = _higher(task.recorded, task.reported)
-        if place is not None and place is task.recorded and place.machine in self._evidence.reports:
+        if place is not None and place is task.recorded and place.machine in self._evidence.heartbeats:
             return task.reported  # its machine was heard, and lacks it
         return place
 
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from spurarch.protocol import recovery_messages, wire
-from spurarch.protocol.recovery_messages import ReportsPage, ReportsRequest
+from spurarch.protocol.recovery_messages import HeartbeatsPage, HeartbeatsRequest
 from spurarch.recovery import copies
 from spurarch.recovery.claim import FINISHED, HEARTBEAT_S, ClaimLostError, RebuildClaim
-from spurarch.recovery.collector import ReportCollector
+from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.evidence import Evidence, Source, SourceKind
 from spurarch.recovery.merge import Merger, Picture, highest_epoch, machines_on_record
 from spurarch.settings import Deployment
@@ -48,7 +48,7 @@
 PEERS_WAIT_S = 8.0  # for a peer that does not answer, or has not noticed the loss
 ARCHIVE_WAIT_S = 30.0  # for an archive, where not every controller lived on
 OPEN_AFTER_LEAST_S = VERIFY_AFTER_S + 1.0  # so that no reader's gap can span the old history and a grown new one
-REPORTS_WAITED = 3.0  # intervals of reports, where only knowledge can be gained by waiting
+HEARTBEATS_WAITED = 3.0  # intervals of reports, where only knowledge can be gained by waiting
 SEEDED_ABOVE_S = 2.0  # of changes at the published rate: more records than that share values
 EPOCHS_UNSEEN = 1 << 16  # changes of owners that may have happened without a trace
 EPOCHS_MOST = 1 << 27
@@ -89,7 +89,7 @@
     cloud: Cloud
     peers: dict[str, Calls]
     archive: Requests | None
-    collector: ReportCollector
+    collector: HeartbeatCollector
     own: Callable[[], Source | None]
 
 
@@ -283,50 +283,50 @@
         deployment = self._around.deployment
         patience_s = deployment.workers.cancel_s * BOUND_DRIFT + BOUND_MARGIN_S
         if gathered.complete:
-            patience_s = OPEN_AFTER_LEAST_S + REPORTS_WAITED * deployment.workers.report_s
+            patience_s = OPEN_AFTER_LEAST_S + HEARTBEATS_WAITED * deployment.workers.heartbeat_interval_s
         bound_at = self._sealed_at + patience_s
         list_at = self._sealed_at + 2 * deployment.cloud.list_lag_s
         while time.monotonic() < bound_at:
-            await self._take_reports(evidence)
+            await self._collect_heartbeats(evidence)
             now = time.monotonic()
             if not listed and now >= list_at:
                 listed = await self._add_listed(needed)
-            if listed and now - self._sealed_at >= OPEN_AFTER_LEAST_S and needed <= set(evidence.reports):
+            if listed and now - self._sealed_at >= OPEN_AFTER_LEAST_S and needed <= set(evidence.heartbeats):
                 break
             await self._beat()
             await curio.sleep(PAUSE_S)
-        await self._take_reports(evidence)
+        await self._collect_heartbeats(evidence)
         return evidence
 
-    async def _take_reports(self, evidence: Evidence) -> None:
+    async def _collect_heartbeats(self, evidence: Evidence) -> None:
         """Newest reports from all controllers."""
         collector, own = self._around.collector, self._around.node
         while self._take_page(evidence, own, *collector.page(self._epoch, self._positions.get(own, 0))):
             await curio.sleep(0)
         shown = collector.highest_epoch
         for node, peer in self._around.peers.items():
-            shown = max(shown, await self._take_reports_of(node, peer, evidence))
+            shown = max(shown, await self._collect_heartbeats_of(node, peer, evidence))
         if shown > self._epoch:
             raise RebuildRefusedError(f"a worker has shown epoch {shown}: beginning anew above it")
 
-    async def _take_reports_of(self, node: str, peer: Calls, evidence: Evidence) -> int:
+    async def _collect_heartbeats_of(self, node: str, peer: Calls, evidence: Evidence) -> int:
         """All pages that a peer has by now; the highest epoch that a worker showed there."""
         while True:
             await self._beat()
-            request = ReportsRequest(self._around.node, self._epoch, self._positions.get(node, 0))
+            request = HeartbeatsRequest(self._around.node, self._epoch, self._positions.get(node, 0))
             answer = await peer.call(recovery_messages.encode(request), CALL_S)
             page = recovery_messages.decode(answer) if answer is not None else None
-            if not isinstance(page, ReportsPage):
+            if not isinstance(page, HeartbeatsPage):
                 return 0
-            if not self._take_page(evidence, node, page.reports, page.position):
+            if not self._take_page(evidence, node, page.heartbeats, page.position):
                 return page.highest_epoch
 
-    def _take_page(self, evidence: Evidence, node: str, reports: list[wire.Report], position: int) -> bool:
+    def _take_page(self, evidence: Evidence, node: str, heartbeats: list[wire.Heartbeat], position: int) -> bool:
         """Takes a page in; False if there was nothing on it."""
-        for report in reports:
-            evidence.take_report(report)
+        for heartbeat in heartbeats:
+            evidence.add_heartbeat(heartbeat)
         self._positions[node] = position
-        return bool(reports)
+        return bool(heartbeats)
 
     async def _add_listed(self, needed: set[str]) -> bool:
         """Machines that only a controller that has ended may have known."""
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -23,15 +23,15 @@
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
     EvidenceRequest,
-    ReportsPage,
-    ReportsRequest,
+    HeartbeatsPage,
+    HeartbeatsRequest,
     RevisionAnswer,
     RevisionRequest,
     StoredRecord,
 )
 from spurarch.recovery import copies
 from spurarch.recovery.claim import ClaimLostError, RebuildClaim
-from spurarch.recovery.collector import ReportCollector
+from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.copies import ArchiveHead
 from spurarch.recovery.evidence import Source
 from spurarch.recovery.rebuild import Rebuilding, RebuildRefusedError, Surroundings
@@ -108,7 +108,7 @@
         self._store = Store(network.client(platform.external.state, CONNECTIONS), deployment.state, deployment.count)
         self._archive = network.client(tuning.archive_address, CONNECTIONS) if tuning.archive_address else None
         self._claim = RebuildClaim(self._store, platform.node, boot)
-        self.collector = ReportCollector(permissions.answers, lambda job: permissions.cancelled_ago(job) is not None)
+        self.collector = HeartbeatCollector(permissions.answers, lambda job: permissions.cancelled_ago(job) is not None)
         self._around = Surroundings(
             platform.node, deployment, self._store, cloud, peers, self._archive, self.collector, self._own_source
         )
@@ -275,12 +275,12 @@
 
     # Requests
 
-    def observe(self, report: wire.Report) -> None:
+    def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Workers that show a later epoch than their partition has on record have seen a history that is gone."""
-        part = self._replica.state.parts.get(report.zone)
-        shown = report.token >> TOKEN_BITS
+        part = self._replica.state.parts.get(heartbeat.zone)
+        shown = heartbeat.fencing_token >> TOKEN_BITS
         if part is not None and shown > part.epoch and len(self._suspicious) < SUSPICIOUS_KEPT:
-            self._suspicious[report.machine] = _Suspicion(report.zone, shown)
+            self._suspicious[heartbeat.machine] = _Suspicion(heartbeat.zone, shown)
 
     async def _judge_suspicions(self) -> None:
         """A copy that was merely late shows the epochs after the next read. A single worker may be out of order."""
@@ -292,12 +292,12 @@
         if len(unexplained) >= SUSPICIOUS_LEAST:
             self._guard.lose(f"{len(unexplained)} workers show epochs that are not on record")
 
-    async def on_report(self, report: wire.Report) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
         """Answers a report while the history is closed."""
         if self.collector.epoch:
-            return self.collector.on_report(report)
-        self.collector.on_report(report)  # for the epoch that it shows
-        return await self._owner.on_report(report, time.monotonic())
+            return self.collector.on_heartbeat(heartbeat)
+        self.collector.on_heartbeat(heartbeat)  # for the epoch that it shows
+        return await self._owner.on_heartbeat(heartbeat, time.monotonic())
 
     def on_frame(self, frame: bytes) -> bytes | None:
         """Answers a peer; None if the frame is nothing of recovery's."""
@@ -307,9 +307,9 @@
             return recovery_messages.encode(RevisionAnswer(self._node, record.name, record.number, self._guard.highest))
         if isinstance(message, EvidenceRequest):
             return recovery_messages.encode(self._evidence_page(message))
-        if isinstance(message, ReportsRequest):
-            reports, position = self.collector.page(message.epoch, message.after)
-            return recovery_messages.encode(ReportsPage(reports, position, self.collector.highest_epoch))
+        if isinstance(message, HeartbeatsRequest):
+            heartbeats, position = self.collector.page(message.epoch, message.after)
+            return recovery_messages.encode(HeartbeatsPage(heartbeats, position, self.collector.highest_epoch))
         return None
 
     def _evidence_page(self, request: EvidenceRequest) -> EvidencePage:
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -43,7 +43,7 @@
 class Workers(Struct):
     """How workers report."""
 
-    report_s: Positive = field(name="report_s")
+    heartbeat_interval_s: Positive = field(name="report_s")
     lease_s: Positive
     cancel_s: Positive
     gang_wait_s: Positive = 30.0
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -80,7 +80,7 @@
                 return out
             after = page.machines[-1].id
 
-    async def rent(self, rental: wire.Rental, still: Callable[[], bool]) -> list[str]:
+    async def rent(self, rental: wire.ScaleOutRequest, still: Callable[[], bool]) -> list[str]:
         """Rents machines; the same request may be repeated without renting twice.
 
         `still` is asked at the last moment whether the caller may do this.
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -103,21 +103,21 @@
     )
 
 
-def made_up(machines: int, finals: int) -> tuple[list[StoredRecord], list[wire.Report]]:
+def made_up(machines: int, finals: int) -> tuple[list[StoredRecord], list[wire.Heartbeat]]:
     """Records and reports of a fleet with eight tasks on each machine."""
     stored: list[StoredRecord] = []
-    reports: list[wire.Report] = []
+    heartbeats: list[wire.Heartbeat] = []
     for number in range(machines):
         job, name = f"job-{number + 1}", f"vm-{number + 1:06d}"
         tasks = [TaskEntry(index, ASSIGNED, 1, name, 1) for index in range(8)]
         stored.append(StoredRecord(records.JOB + job, number + 1, wire.encode(JobRecord(spec(job, 8), 1.0))))
         stored.append(StoredRecord(f"live/allot/a/{job}/0", number + 2, wire.encode(AllocationRecord(tasks))))
-        seen = [wire.TaskReport(f"{job}/{index}", 1, "running") for index in range(8)]
-        reports.append(wire.Report(name, "10.1.0.1:1", "small", "a", 1, 9, 1 << 50, seen))
+        seen = [wire.TaskStatus(f"{job}/{index}", 1, "running") for index in range(8)]
+        heartbeats.append(wire.Heartbeat(name, "10.1.0.1:1", "small", "a", 1, 9, 1 << 50, seen))
     for number in range(finals):
         key = f"{records.FINAL}job-{machines + number + 1}"
         stored.append(StoredRecord(key, number + 3, wire.encode(FinalRecord(wire.DONE, 3))))
-    return stored, reports
+    return stored, heartbeats
 
 
 @dataclass
@@ -141,7 +141,7 @@
 
 def merge_cost(machines: int, finals: int, directory: Path) -> MergeCost:
     """Five copies and all reports of a fleet, in this process."""
-    stored, reports = made_up(machines, finals)
+    stored, heartbeats = made_up(machines, finals)
     sources = []
     for number in range(5):
         kind = SourceKind.ARCHIVE if number == 0 else SourceKind.REPLICA
@@ -150,7 +150,7 @@
             source.take(record)
         sources.append(source)
     began = time.perf_counter()
-    picture = merge(Evidence(sources, {r.machine: r for r in reports}, True), 100)
+    picture = merge(Evidence(sources, {r.machine: r for r in heartbeats}, True), 100)
     merge_s = time.perf_counter() - began
     alive = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in picture.jobs.items()]
     alive += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in picture.allocations.items()]
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -231,7 +231,7 @@
     assert [machine.id for machine in machines] == ["vm-000230", "vm-000231"]
 
 
-RENTAL = wire.Rental("r-17", "g8", "a", True, 12)
+RENTAL = wire.ScaleOutRequest("r-17", "g8", "a", True, 12)
 
 
 def test_machines_are_rented_and_returned() -> None:
--- a/tests/test_external_contract_peers.py
+++ b/tests/test_external_contract_peers.py
@@ -15,14 +15,14 @@
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
     EvidenceRequest,
+    HeartbeatsPage,
+    HeartbeatsRequest,
     RecoveryMessage,
-    ReportsPage,
-    ReportsRequest,
     RevisionAnswer,
     RevisionRequest,
     StoredRecord,
 )
-from spurarch.protocol.wire import Report, TaskReport
+from spurarch.protocol.wire import Heartbeat, TaskStatus
 from spurarch.transport import frames
 
 PEER_MESSAGES: list[tuple[str, bytes, PeerMessage]] = [
@@ -65,7 +65,7 @@
     ("ping-of-a-later-version", b"\x93\xa4ping\xa2n0\x07", Ping("n0")),
 ]
 
-REPORT = Report(
+REPORT = Heartbeat(
     "vm-000231",
     "10.1.0.232:9000",
     "g8",
@@ -73,7 +73,7 @@
     1,
     88,
     41,
-    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)],
+    [TaskStatus("job-000412/3", 2, "running"), TaskStatus("job-000398/0", 1, "ended", "halted", True)],
     True,
     30.5,
 )
@@ -109,8 +109,8 @@
             500,
         ),
     ),
-    ("reports-request", b"\x94\xa8reports?\xa2n0\x28\xcc\xc8", ReportsRequest("n0", 40, 200)),
-    ("reports-page", b"\x94\xa7reports\x91" + PACKED_REPORT + b"\xcc\xc8\x27", ReportsPage([REPORT], 200, 39)),
+    ("reports-request", b"\x94\xa8reports?\xa2n0\x28\xcc\xc8", HeartbeatsRequest("n0", 40, 200)),
+    ("reports-page", b"\x94\xa7reports\x91" + PACKED_REPORT + b"\xcc\xc8\x27", HeartbeatsPage([REPORT], 200, 39)),
 ]
 
 
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -14,8 +14,8 @@
 import pytest
 
 from spurarch.coordination.controller import Controller
-from spurarch.protocol.wire import Report, TaskReport
-from spurarch.recovery.collector import ReportCollector
+from spurarch.protocol.wire import Heartbeat, TaskStatus
+from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.launch import controller_with_recovery
 from spurarch.transport.http import Handler, HttpServer, Request, Response
 from spurarch.transport.http_messages import MessageError, RequestParser, error_response, render_response
@@ -544,18 +544,18 @@
     assert answers == [(503, b'{"error":"cut from the state service"}', RETRY)]
 
 
-RUNNING = Report("vm-000001", "10.1.0.1:9000", "small", "a", 1, 1, 0, [TaskReport("job-1/0", 2, "running")])
+RUNNING = Heartbeat("vm-000001", "10.1.0.1:9000", "small", "a", 1, 1, 0, [TaskStatus("job-1/0", 2, "running")])
 
 
 def test_reports_during_a_rebuilding_get_exactly_these_answers() -> None:
     allowed, cut = (lambda now: True), (lambda now: False)
-    before = ReportCollector(allowed, lambda job: False)
-    during = ReportCollector(allowed, lambda job: job == "job-1")
-    isolated = ReportCollector(cut, lambda job: False)
+    before = HeartbeatCollector(allowed, lambda job: False)
+    during = HeartbeatCollector(allowed, lambda job: job == "job-1")
+    isolated = HeartbeatCollector(cut, lambda job: False)
     for collector in (during, isolated):
         collector.begin(40)
 
-    answers = [collector.on_report(RUNNING) for collector in (before, during, isolated)]
+    answers = [collector.on_heartbeat(RUNNING) for collector in (before, during, isolated)]
 
     assert answers == [
         (503, b'{"error":"the records are being rebuilt"}'),
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -19,6 +19,8 @@
     Grant,
     GrantRequest,
     Guard,
+    Heartbeat,
+    HeartbeatResponse,
     Item,
     JobState,
     ListedMachine,
@@ -28,12 +30,10 @@
     MachineTypes,
     Page,
     Put,
-    Rental,
-    Report,
-    ReportAnswer,
-    Steer,
+    Redirect,
+    ScaleOutRequest,
     Submission,
-    TaskReport,
+    TaskStatus,
     Txn,
     TxnAnswer,
 )
@@ -57,7 +57,7 @@
         b'{"baton":41,"orders":[{"verb":"run","leg":"job-000412/4","try":2},'
         b'{"verb":"halt","leg":"job-000377/1","try":1,"leeway_s":10.0},'
         b'{"verb":"forget","leg":"job-000398/0","try":1}]}',
-        ReportAnswer(
+        HeartbeatResponse(
             41,
             [
                 Command("run", "job-000412/4", 2),
@@ -66,9 +66,9 @@
             ],
         ),
     ),
-    ("answer-without-commands", b'{"baton":41,"orders":[]}', ReportAnswer(41, [])),
-    ("to-another-controller", b'{"steward":"croft-2"}', Steer("croft-2")),
-    ("to-any-controller", b"{}", Steer()),
+    ("answer-without-commands", b'{"baton":41,"orders":[]}', HeartbeatResponse(41, [])),
+    ("to-another-controller", b'{"steward":"croft-2"}', Redirect("croft-2")),
+    ("to-any-controller", b"{}", Redirect()),
     (
         "direct-commands",
         b'{"baton":41,"tenure":1,"orders":[{"verb":"halt","leg":"job-000377/1","try":1,"leeway_s":0.0}]}',
@@ -78,7 +78,7 @@
     (
         "rental",
         b'{"hire":"r-17","build":"g8","district":"a","lendable":true,"how_many":12}',
-        Rental("r-17", "g8", "a", True, 12),
+        ScaleOutRequest("r-17", "g8", "a", True, 12),
     ),
     ("machines-returned", b'{"crofts":["vm-000231","vm-000232"]}', MachineNames(["vm-000231", "vm-000232"])),
     ("lease-requested", b'{"life_ms":5000}', GrantRequest(5000)),
@@ -196,7 +196,7 @@
     b'"legs":[{"leg":"job-000412/3","try":2,"standing":"running"},'
     b'{"leg":"job-000398/0","try":1,"standing":"ended","cause":"halted","stored":true}]}'
 )
-REPORT = Report(
+REPORT = Heartbeat(
     "vm-000231",
     "10.1.0.232:9000",
     "g8",
@@ -204,7 +204,7 @@
     1,
     88,
     41,
-    [TaskReport("job-000412/3", 2, "running"), TaskReport("job-000398/0", 1, "ended", "halted", True)],
+    [TaskStatus("job-000412/3", 2, "running"), TaskStatus("job-000398/0", 1, "ended", "halted", True)],
     True,
     30.5,
 )
@@ -217,13 +217,13 @@
         (
             b'{"croft":"vm-1","addr":"10.1.0.1:9000","build":"g8","district":"a","tenure":1,"tally":0,"baton":0,'
             b'"warning_s":null,"legs":[],"later":1}',
-            Report("vm-1", "10.1.0.1:9000", "g8", "a", 1, 0, 0, [], False, None),
+            Heartbeat("vm-1", "10.1.0.1:9000", "g8", "a", 1, 0, 0, [], False, None),
         ),
     ],
     ids=["full", "short"],
 )
-def test_a_report_is_understood(body: bytes, report: Report) -> None:
-    assert wire.report_decoder.decode(body) == report
+def test_a_report_is_understood(body: bytes, heartbeat: Heartbeat) -> None:
+    assert wire.heartbeat_decoder.decode(body) == heartbeat
 
 
 # What the cloud and the state service answer
@@ -303,7 +303,7 @@
 
 def test_the_paths_are_those_of_the_protocols() -> None:
     assert (wire.PATH_JOBS, wire.PATH_CANCEL, wire.PATH_HEALTH) == ("/submissions", "cancel", "/up")
-    assert (wire.PATH_REPORT, wire.PATH_COMMANDS) == ("/agent/beat", "/do")
+    assert (wire.PATH_HEARTBEAT, wire.PATH_COMMANDS) == ("/agent/beat", "/do")
     assert (wire.PATH_TYPES, wire.PATH_MACHINES, wire.PATH_RELEASE) == (
         "/machine_types",
         "/machines",
@@ -317,10 +317,19 @@
     assert (wire.BATCH, wire.GANG, wire.SERVICE) == ("batch", "gang", "daemon")
     assert wire.PRIORITIES == {"production": 0, "high": 1, "normal": 2, "low": 3}
     assert (wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED) == ("pending", "running", "done", "aborted")
-    assert (wire.FETCHING, wire.GATHERING, wire.SAVING, wire.EXITED) == ("fetching", "gathering", "saving", "ended")
-    assert (wire.WHY_DONE, wire.WHY_ERROR, wire.WHY_STOPPED) == ("done", "error", "halted")
-    assert (wire.WHY_PEERS, wire.WHY_INCOMPLETE) == ("peers", "incomplete")
-    assert (wire.WHY_NO_ROOM, wire.WHY_BUSY, wire.WHY_UNKNOWN) == ("full", "in_use", "no_such")
+    assert (wire.FETCHING, wire.GATHERING, wire.CHECKPOINTING, wire.EXITED) == (
+        "fetching",
+        "gathering",
+        "saving",
+        "ended",
+    )
+    assert (wire.REASON_DONE, wire.REASON_ERROR, wire.REASON_STOPPED) == ("done", "error", "halted")
+    assert (wire.REASON_PEER_LOST, wire.REASON_GANG_INCOMPLETE) == ("peers", "incomplete")
+    assert (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT, wire.REASON_UNKNOWN_TASK) == (
+        "full",
+        "in_use",
+        "no_such",
+    )
     assert (wire.START, wire.STOP, wire.FORGET) == ("run", "halt", "forget")
     assert (wire.BOOTING, wire.FAILED) == ("booting", "failed")
     assert wire.MAX_TASKS == 100_000
@@ -358,4 +367,4 @@
     ],
 )
 def test_the_form_of_a_job_name_stands(name: str, valid: bool) -> None:
-    assert bool(wire.REF.fullmatch(name)) is valid
+    assert bool(wire.JOB_ID_PATTERN.fullmatch(name)) is valid
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -46,8 +46,8 @@
         spread=False,
         spot=False,
         estimate_s=1.0,
-        checkpoint_s=5.0,
-        save_s=2.0,
+        checkpoint_interval_s=5.0,
+        checkpoint_duration_s=2.0,
     )
 
 
@@ -95,7 +95,14 @@
 
 
 @pytest.mark.parametrize(
-    "why", [wire.WHY_PEERS, wire.WHY_INCOMPLETE, wire.WHY_ERROR, wire.WHY_STOPPED, wire.WHY_NO_ROOM]
+    "why",
+    [
+        wire.REASON_PEER_LOST,
+        wire.REASON_GANG_INCOMPLETE,
+        wire.REASON_ERROR,
+        wire.REASON_STOPPED,
+        wire.REASON_NO_CAPACITY,
+    ],
 )
 def test_all_leave_once_one_has_left(why: str) -> None:
     gang = gang_of(assigned(0), assigned(1), assigned(2))
@@ -117,7 +124,7 @@
     gang = gang_of(assigned(0), assigned(1))
     for run in gang.members.values():
         run.advance(Phase.RUNNING)
-    gang.members[0].advance(Phase.EXITED, wire.WHY_DONE)
+    gang.members[0].advance(Phase.EXITED, wire.REASON_DONE)
     gang.settle()
     assert gang.state is GangState.ENDED
     assert gang.to_stop() == []
@@ -171,7 +178,7 @@
     job = JobRecord(submission(4), 0.0)
     job.spec.kind = wire.BATCH
     part, state = part_with(job, [assigned(i) for i in range(4)])
-    part.step(part.runs["job-1", 3], Phase.EXITED, wire.WHY_DONE)
+    part.step(part.runs["job-1", 3], Phase.EXITED, wire.REASON_DONE)
     pieces = records.split(WHERE, AllocationRecord([assigned(i) for i in range(4)]), 2)
     state.committed([Write(str(where), piece) for where, piece in pieces], 9)
     part.take_records(state, [str(where) for where, _ in pieces], 1.0)
@@ -192,12 +199,12 @@
 
 def test_an_unknown_task_state_teaches_nothing_and_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     part, _ = part_with(JobRecord(submission(1), 0.0), [assigned(0)])
-    task = wire.TaskReport("job-1/0", 1, "dreaming")
+    task = wire.TaskStatus("job-1/0", 1, "dreaming")
     with caplog.at_level(logging.WARNING):
         for seq in (1, 2, 3):
             token = part.token(part.machines["vm-0"])
-            report = wire.Report("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
-            part.on_report(report, float(seq))
+            heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
+            part.on_heartbeat(heartbeat, float(seq))
     assert part.runs["job-1", 0].phase is Phase.STARTING
     assert [r.getMessage() for r in caplog.records].count("workers report the unknown task state 'dreaming'") == 1
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -44,7 +44,7 @@
         fleet = Fleet(machines)
         token = fleet.partition.token(fleet.partition.machines["vm-7"])
         ended = fleet.wire_report(7, 3, token)
-        ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", why="done")
+        ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", exit_reason="done")
         report = calls(lambda f=fleet, r=ended: f.partition.on_report(r, 2.0))  # type: ignore[misc]
         left = calls(lambda f=fleet: f.partition.left_over(f.state))  # type: ignore[misc]
         costs.append((report, left))
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -49,19 +49,19 @@
     return out
 
 
-def report(machine: str, *tasks: tuple[str, int, str, str | None], session: int = 1, seq: int = 9) -> wire.Report:
-    seen = [wire.TaskReport(task, attempt, state, why) for task, attempt, state, why in tasks]
-    return wire.Report(machine, "10.1.0.1:1", "small", "a", session, seq, 1 << 50, seen)
+def report(machine: str, *tasks: tuple[str, int, str, str | None], session: int = 1, seq: int = 9) -> wire.Heartbeat:
+    seen = [wire.TaskStatus(task, attempt, state, why) for task, attempt, state, why in tasks]
+    return wire.Heartbeat(machine, "10.1.0.1:1", "small", "a", session, seq, 1 << 50, seen)
 
 
 def entries(picture: Picture, job: str) -> dict[int, TaskEntry]:
     return {e.index: e for where, record in picture.allocations.items() if where.job == job for e in record.tasks}
 
 
-def evidence(*sources: Source, reports: Iterable[wire.Report] = (), complete: bool = True) -> Evidence:
+def evidence(*sources: Source, heartbeats: Iterable[wire.Heartbeat] = (), complete: bool = True) -> Evidence:
     out = Evidence(list(sources), {}, complete)
-    for one in reports:
-        out.take_report(one)
+    for one in heartbeats:
+        out.add_heartbeat(one)
     return out
 
 
@@ -78,14 +78,16 @@
 
 def test_a_task_that_its_worker_shows_stays_there() -> None:
     picture = merge(
-        evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), reports=[report("vm-1", ("job-1/0", 1, "running", None))]),
+        evidence(
+            source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1", ("job-1/0", 1, "running", None))]
+        ),
         CHUNK,
     )
     assert entries(picture, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
 
 
 def test_a_task_that_its_worker_lacks_goes_back_to_the_leader() -> None:
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), reports=[report("vm-1")]), CHUNK)
+    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1")]), CHUNK)
     assert entries(picture, "job-1")[0].state == RETURNED
 
 
@@ -100,21 +102,21 @@
 
 
 def test_an_end_that_only_a_worker_knows_counts() -> None:
-    seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.WHY_DONE))
-    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), reports=[seen]), CHUNK)
+    seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
+    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
     assert entries(picture, "job-1")[0].state == ENDED
 
 
 def test_an_attempt_that_only_a_worker_knows_counts() -> None:
     seen = report("vm-7", ("job-1/2", 3, "running", None), session=4)
-    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), reports=[seen]), CHUNK)
+    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
     assert entries(picture, "job-1")[2] == TaskEntry(2, ASSIGNED, 3, "vm-7", 4)
 
 
 def test_a_service_does_not_end_by_itself() -> None:
     live = {job_key("job-1"): (5, JobRecord(spec("job-1", 1, wire.SERVICE), 1.0))}
-    seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.WHY_DONE))
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live), reports=[seen]), CHUNK)
+    seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
+    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live), heartbeats=[seen]), CHUNK)
     assert entries(picture, "job-1")[0].state == RETURNED
 
 
@@ -164,7 +166,7 @@
 def test_a_task_of_a_job_that_nobody_knows_is_told() -> None:
     picture = merge(
         evidence(
-            source(SourceKind.ARCHIVE, "archive", 9, LIVE), reports=[report("vm-2", ("job-9/0", 1, "running", None))]
+            source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[report("vm-2", ("job-9/0", 1, "running", None))]
         ),
         CHUNK,
     )
@@ -195,7 +197,7 @@
     copy.take(StoredRecord("live/allot/a/job-2/0", 3, b"\xff"))
     copy.take(StoredRecord("something/else", 3, b"1"))
     picture = merge(
-        evidence(copy, reports=[report("vm-1", ("nonsense", 1, "running", None), ("job-1/77", 1, "running", None))]),
+        evidence(copy, heartbeats=[report("vm-1", ("nonsense", 1, "running", None), ("job-1/77", 1, "running", None))]),
         CHUNK,
     )
     assert picture.set_aside == 4
@@ -267,7 +269,7 @@
         """The records as they were at a revision."""
         return source(kind, name, revision, self.states[revision])
 
-    def worker_reports(self) -> list[wire.Report]:
+    def worker_reports(self) -> list[wire.Heartbeat]:
         """Workers show exactly what the newest records put on them."""
         shown: dict[str, list[tuple[str, int, str, str | None]]] = {name: [] for name in MACHINES}
         for key, (_, record) in self.keys.items():
@@ -295,11 +297,11 @@
     cuts = data.draw(st.lists(st.integers(0, timeline.revision), min_size=1, max_size=4))
     sources = [timeline.copy(SourceKind.REPLICA, f"n{i}", cut) for i, cut in enumerate(cuts)]
     sources.append(timeline.copy(SourceKind.ARCHIVE, "archive", data.draw(st.integers(0, timeline.revision))))
-    reports = timeline.worker_reports()
-    expected = plain(merge(evidence(*sources, reports=reports), CHUNK))
+    heartbeats = timeline.worker_reports()
+    expected = plain(merge(evidence(*sources, heartbeats=heartbeats), CHUNK))
     shuffled = data.draw(st.permutations([*sources, *sources[:1]]))
-    again = data.draw(st.permutations([*reports, *reports]))
-    assert plain(merge(evidence(*shuffled, reports=again), CHUNK)) == expected
+    again = data.draw(st.permutations([*heartbeats, *heartbeats]))
+    assert plain(merge(evidence(*shuffled, heartbeats=again), CHUNK)) == expected
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -310,7 +312,7 @@
         timeline.step()
     archive = timeline.copy(SourceKind.ARCHIVE, "archive", int(archived * timeline.revision))
     newest = timeline.copy(SourceKind.REPLICA, "n0", timeline.revision)
-    picture = merge(evidence(archive, newest, reports=timeline.worker_reports()), CHUNK)
+    picture = merge(evidence(archive, newest, heartbeats=timeline.worker_reports()), CHUNK)
     assert picture.doubts == []
     for key, (_, record) in timeline.keys.items():
         if isinstance(record, FinalRecord):
@@ -335,10 +337,10 @@
     for _ in range(steps):
         timeline.step()
     archive = timeline.copy(SourceKind.ARCHIVE, "archive", int(archived * timeline.revision))
-    reports = timeline.worker_reports()
-    picture = merge(evidence(archive, reports=reports, complete=False), CHUNK)
+    heartbeats = timeline.worker_reports()
+    picture = merge(evidence(archive, heartbeats=heartbeats, complete=False), CHUNK)
     assert picture.uncertain
-    running = {t.task: r.machine for r in reports for t in r.tasks}
+    running = {t.task: r.machine for r in heartbeats for t in r.tasks}
     for job in picture.jobs:
         for entry in entries(picture, job).values():
             machine = running.get(f"{job}/{entry.index}")
@@ -396,7 +398,7 @@
     def hear(self) -> None:
         """Workers report, and then nothing changes any more: reports count only in a sealed history."""
         for one in self.timeline.worker_reports():
-            self.evidence.take_report(one)
+            self.evidence.add_heartbeat(one)
 
     @rule()
     def merge(self) -> None:
--- a/tests/test_recovery_faults.py
+++ b/tests/test_recovery_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from spurarch.recovery import merge, rebuild
-from spurarch.recovery.collector import ReportCollector
+from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.coverage import ArchiveProgress
 from spurarch.recovery.evidence import Source, Versioned
 from spurarch.storage.history import HistoryGuard, HistoryRecord
@@ -46,7 +46,7 @@
 def test_epochs_that_do_not_rise(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rebuild, "EPOCHS_UNSEEN", 0)
     monkeypatch.setattr(rebuild, "highest_epoch", lambda sources: 1)
-    monkeypatch.setattr(ReportCollector, "highest_epoch", property(lambda self: 0, lambda self, epoch: None), False)
+    monkeypatch.setattr(HeartbeatCollector, "highest_epoch", property(lambda self: 0, lambda self, epoch: None), False)
     assert problems("archive-lags")
 
 
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -91,8 +91,8 @@
     assert fleet.partition.machines["vm-0"].standing is Standing.LOST
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 40.0, False)] == ["vm-0", "vm-1"]
     token = fleet.partition.token(fleet.partition.machines["vm-0"])
-    report = wire.Report("vm-0", "10.1.0.1:9000", "big", "a", 2, 30, token, [])
-    assert fleet.partition.on_report(report, 41.0) is not None  # it goes on in its next session
+    heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "big", "a", 2, 30, token, [])
+    assert fleet.partition.on_heartbeat(heartbeat, 41.0) is not None  # it goes on in its next session
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 42.0, False)] == ["vm-1"]
 
 
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -94,7 +94,7 @@
 @settings(max_examples=150)
 @given(st.binary(max_size=80) | json_values.map(msgspec.json.encode))
 def test_nothing_but_a_decode_error_comes_of_garbage(body: bytes) -> None:
-    for decoder in (wire.submission_decoder, wire.report_decoder, wire.changes_decoder, wire.list_decoder):
+    for decoder in (wire.submission_decoder, wire.heartbeat_decoder, wire.changes_decoder, wire.list_decoder):
         with pytest.raises((msgspec.DecodeError, UnicodeDecodeError)):
             decoder.decode(body)
     assert peer_messages.decode(body) is None or isinstance(peer_messages.decode(body), peer_messages.PeerMessage)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -108,14 +108,14 @@
         self.partition.take_records(self.state, keys, 1.0)
 
     @staticmethod
-    def wire_report(i: int, seq: int, token: int) -> wire.Report:
+    def wire_report(i: int, seq: int, token: int) -> wire.Heartbeat:
         """A report of a machine on which all four tasks run."""
-        tasks = [wire.TaskReport(f"job-{i}/{n}", 1, "running") for n in range(4)]
-        return wire.Report(f"vm-{i}", "10.1.0.1:9000", "big", "a", 1, seq, token, tasks)
+        tasks = [wire.TaskStatus(f"job-{i}/{n}", 1, "running") for n in range(4)]
+        return wire.Heartbeat(f"vm-{i}", "10.1.0.1:9000", "big", "a", 1, seq, token, tasks)
 
     def report(self, i: int, seq: int, token: int) -> object:
         """Takes such a report in."""
-        return self.partition.on_report(self.wire_report(i, seq, token), 1.0 + seq / 10)
+        return self.partition.on_heartbeat(self.wire_report(i, seq, token), 1.0 + seq / 10)
 
 
 def test_a_report_and_a_change_cost_the_same_in_a_large_fleet() -> None:
@@ -195,7 +195,7 @@
         fleet.put(key, AllocationRecord(entries))
         fleet.news([key])
         for run in list(fleet.partition.runs.values())[:ended]:
-            fleet.partition.step(run, Phase.EXITED, wire.WHY_DONE)
+            fleet.partition.step(run, Phase.EXITED, wire.REASON_DONE)
         assert fleet.partition.ends(fleet.state, 3.0) == {}
         costs.append(calls(lambda f=fleet: f.partition.ends(f.state, 3.0)))  # type: ignore[misc]
     assert costs[0] == costs[1]
@@ -225,21 +225,21 @@
     fleet.report(1, 3, token)
     assert fleet.partition.occasions == before
     ended = fleet.wire_report(1, 4, token)
-    ended.tasks[0] = wire.TaskReport("job-1/0", 1, "ended", "done")
-    fleet.partition.on_report(ended, 2.0)
+    ended.tasks[0] = wire.TaskStatus("job-1/0", 1, "ended", "done")
+    fleet.partition.on_heartbeat(ended, 2.0)
     assert fleet.partition.occasions == before + 1
-    fleet.partition.on_report(wire.Report("vm-1", "10.1.0.1:9000", "big", "a", 1, 5, token, ended.tasks), 2.1)
+    fleet.partition.on_heartbeat(wire.Heartbeat("vm-1", "10.1.0.1:9000", "big", "a", 1, 5, token, ended.tasks), 2.1)
     fleet.report(2, 3, fleet.partition.token(fleet.partition.machines["vm-2"]))
     assert fleet.partition.over
     assert fleet.partition.occasions == before + 1
-    fresh = wire.Report("vm-9", "10.1.0.9:9000", "big", "a", 1, 1, 0, [])
-    fleet.partition.on_report(fresh, 2.2)
-    fleet.partition.on_report(
-        wire.Report("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.base + 99, []), 2.3
+    fresh = wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 1, 0, [])
+    fleet.partition.on_heartbeat(fresh, 2.2)
+    fleet.partition.on_heartbeat(
+        wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.base + 99, []), 2.3
     )
     assert fleet.partition.occasions == before + 1  # a token that it was never given
     shown = fleet.partition.token(fleet.partition.machines["vm-9"])
-    fleet.partition.on_report(wire.Report("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, shown, []), 2.4)
+    fleet.partition.on_heartbeat(wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, shown, []), 2.4)
     assert fleet.partition.occasions == before + 2
 
 
