--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -38,7 +38,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import FINAL, LIVE
 from spurarch.storage.seeds import SEED
-from spurarch.storage.store import RevisionTooOldError, Store, StoreUnavailableError, Verdict
+from spurarch.storage.store import RevisionTooOldError, Store, StoreUnavailableError, TransactionStatus
 
 log = logging.getLogger(__name__)
 
@@ -295,11 +295,11 @@
         revision = self.point.revision
         record = ArchivedRecord(self._history.name, revision, self.name)
         guard = wire.Guard(OPEN + self._history.name, self._marker_version)
-        outcome = await self._store.txn(wire.Txn([guard], [wire.Put(ARCHIVED, record)]), Urgency.USERS)
-        if outcome.verdict is Verdict.DONE:
+        result = await self._store.txn(wire.Txn([guard], [wire.Put(ARCHIVED, record)]), Urgency.USERS)
+        if result.status is TransactionStatus.COMMITTED:
             self._published = revision
             self.counts.published += 1
-        elif outcome.verdict is Verdict.CONFLICT:
+        elif result.status is TransactionStatus.CONFLICT:
             self._seal("its marker is gone")
 
     @property
--- a/spurarch/coordination/admission.py
+++ b/spurarch/coordination/admission.py
@@ -120,19 +120,19 @@
                 at = order.index(start)
                 urgent = [r for r in order[:at] if self.view.jobs[r].need.priority == 0]
                 order = urgent + order[at:] + [r for r in order[:at] if self.view.jobs[r].need.priority != 0]
-            for ref in order:
+            for job_id in order:
                 if out_of_time():
-                    plan.next_job = ref
+                    plan.next_job = job_id
                     break
-                self._admit(ref, plan, most_grants)
+                self._admit(job_id, plan, most_grants)
         finally:
             self._draft.undo()
         return plan
 
     def _book_waiting(self, plan: Plan) -> None:
         """Room that admitted tasks will take is not given away twice; those without any still need machines."""
-        for where, job, count, tried in self.view.waiting():
-            zone = self.view.zones.index(where.zone)
+        for allocation, job, count, tried in self.view.waiting():
+            zone = self.view.zones.index(allocation.zone)
             hopeless = self._hopeless(job.need, zone)
             if not hopeless:
                 count -= sum(n for _, n in fill(job.need, self._roomy[zone], count, self._draft))
@@ -157,42 +157,42 @@
 
     def _open_jobs(self) -> list[str]:
         out = []
-        for ref, job in self.view.jobs.items():
+        for job_id, job in self.view.jobs.items():
             if job.to_admit > 0:
-                record = self.view.state.jobs.get(ref)
+                record = self.view.state.jobs.get(job_id)
                 if record is not None and not record.cancelled:
-                    out.append(ref)
+                    out.append(job_id)
         return out
 
-    def _rank(self, ref: str) -> tuple[int, bool, float, float]:
-        job = self.view.jobs[ref]
+    def _rank(self, job_id: str) -> tuple[int, bool, float, float]:
+        job = self.view.jobs[job_id]
         return self.view.rank(job, job.starving(self.now, self.longest_wait_s))
 
     def _allowance(self, job: JobView) -> int:
         """How many more tasks the team's limit allows."""
         ledger, beside = self.view.ledger, self._planned.get(job.team, NOTHING)
-        reserved = ledger.reserved_for(job.ref)
+        reserved = ledger.reserved_for(job.job_id)
         if reserved is not NOTHING:
             beside = beside - reserved  # this plan stands in the place of the one under way
         return ledger.tasks_allowed(job.team, job.charge_each, job.tasks, beside)
 
     def _book(self, job: JobView, tasks: int) -> None:
         """Counts planned tasks towards their team; an admission of the job that is under way is planned again here."""
-        planned = job.charge_each.times(tasks).beyond(self.view.ledger.reserved_for(job.ref))
+        planned = job.charge_each.times(tasks).beyond(self.view.ledger.reserved_for(job.job_id))
         self._planned[job.team] = self._planned.get(job.team, NOTHING) + planned
 
     def _pending(self, job: JobView) -> Iterable[tuple[TaskEntry, AllocationKey | None]]:
         """Tasks to place: those that parts returned, then new ones in order of their index."""
         if job.returned:
-            for where, record in self.view.state.allocations.get(job.ref, {}).items():
+            for allocation, record in self.view.state.allocations.get(job.job_id, {}).items():
                 for entry in record.tasks:
                     if entry.state == records.RETURNED:
-                        yield TaskEntry(entry.index, records.FREE, entry.attempt), where
+                        yield TaskEntry(entry.index, records.FREE, entry.attempt), allocation
         for index in range(job.admitted, job.tasks):
             yield TaskEntry(index), None
 
-    def _admit(self, ref: str, plan: Plan, most_grants: int) -> None:
-        job = self.view.jobs[ref]
+    def _admit(self, job_id: str, plan: Plan, most_grants: int) -> None:
+        job = self.view.jobs[job_id]
         allowed = min(self._allowance(job), job.to_admit)
         if allowed <= 0:
             return
@@ -215,7 +215,7 @@
             return  # booked, so that nobody else counts on the room, and granted in a later round
         pending = iter(self._pending(job))
         for zone, number in zones.items():
-            grant = Grant(ref, zone)
+            grant = Grant(job_id, zone)
             for entry, source in islice(pending, number):
                 grant.entries.append(entry)
                 if source is not None:
@@ -327,7 +327,7 @@
     def _by_guarantee(self, job: JobView, count: int) -> dict[int, int]:
         """A job inside its team's guarantee gets what other teams run beyond theirs: its owner stops that work."""
         out: dict[int, int] = {}
-        if job.ref not in self.view.guaranteed():
+        if job.job_id not in self.view.guaranteed():
             return out
         if self._borrowed is None:
             self._borrowed = borrowed_cpus(self.view)
@@ -448,7 +448,7 @@
 
     def _short(self, plan: Plan, job: JobView, count: int) -> None:
         if count > 0:
-            plan.shortages.append(Shortage(job.need, count, job.due, job.service, job.ref, job.estimate_s, job.gang))
+            plan.shortages.append(Shortage(job.need, count, job.due, job.service, job.job_id, job.estimate_s, job.gang))
 
     @staticmethod
     def _by_preemption(job: JobView, candidates: list[Room]) -> Room | None:
--- a/spurarch/coordination/admission_writer.py
+++ b/spurarch/coordination/admission_writer.py
@@ -18,7 +18,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, TaskEntry
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Outcome, Verdict
+from spurarch.storage.store import TransactionResult, TransactionStatus
 
 log = logging.getLogger(__name__)
 
@@ -76,14 +76,14 @@
         self._record_tasks = records.tasks_per_record(limits.value_bytes)
         self._most_changes = limits.transaction_changes
 
-    def as_planned(self, ref: str) -> dict[str, int]:
+    def as_planned(self, job_id: str) -> dict[str, int]:
         """Versions of what an admission of the job is decided by.
 
         A plan may wait while an earlier one is carried out: tasks that this one moved are somewhere else by then, and
         moving them again would run them twice.
         """
         state = self.replica.state
-        keys = [records.ADMISSION + ref, *(str(where) for where in state.allocations.get(ref, {}))]
+        keys = [records.ADMISSION + job_id, *(str(allocation) for allocation in state.allocations.get(job_id, {}))]
         return {key: state.version(key) for key in keys}
 
     async def admit_beside(self, grants: list[Grant], planned: dict[str, dict[str, int]]) -> None:
@@ -111,40 +111,40 @@
         for grant in grants:
             by_job.setdefault(grant.job, []).append(grant)
         batch = _Batch()
-        for ref, mine in by_job.items():
-            change = self._change(ref, mine, planned[ref])
+        for job_id, mine in by_job.items():
+            change = self._change(job_id, mine, planned[job_id])
             if change is not None and not batch.takes(change, self._most_changes):
                 await self._commit(batch, urgency)
                 batch = _Batch()
-                change = self._change(ref, mine, planned[ref])
+                change = self._change(job_id, mine, planned[job_id])
             if change is not None:
                 batch.add(change)
         if batch.changes:
             await self._commit(batch, urgency)
 
-    def _change(self, ref: str, grants: list[Grant], planned: dict[str, int]) -> JobAdmission | None:
+    def _change(self, job_id: str, grants: list[Grant], planned: dict[str, int]) -> JobAdmission | None:
         """What the admission of one job writes; None if its plan does not stand any more."""
-        if not live(self.replica.state, ref) or not self._stands(ref, grants, planned):
+        if not live(self.replica.state, job_id) or not self._stands(job_id, grants, planned):
             return None
-        return self._job_admission(ref, grants)
+        return self._job_admission(job_id, grants)
 
-    def _stands(self, ref: str, grants: list[Grant], planned: dict[str, int]) -> bool:
+    def _stands(self, job_id: str, grants: list[Grant], planned: dict[str, int]) -> bool:
         """What the plan for a job was decided by has not changed: its count, and the allocations that lose tasks."""
         state = self.replica.state
-        keys = {records.ADMISSION + ref, *(str(source) for grant in grants for source in grant.moved)}
+        keys = {records.ADMISSION + job_id, *(str(source) for grant in grants for source in grant.moved)}
         return all(state.version(key) == planned.get(key, 0) for key in keys)
 
-    def _job_admission(self, ref: str, grants: list[Grant]) -> JobAdmission:
+    def _job_admission(self, job_id: str, grants: list[Grant]) -> JobAdmission:
         """The job's count, its new allocations, and the old ones that lose tasks; as many as one transaction takes.
 
         A job that is admitted as a whole needs no count: its allocations stay until it is over, and a late repeat of
         the transaction that made them finds them there.
         """
         state = self.replica.state
-        known = state.admitted.get(ref)
-        there = state.allocations.get(ref, {})
+        known = state.admissions.get(job_id)
+        there = state.allocations.get(job_id, {})
         if known is None and there:
-            known = AdmissionRecord(state.jobs[ref].spec.tasks, max(where.chunk for where in there) + 1)
+            known = AdmissionRecord(state.jobs[job_id].spec.tasks, max(allocation.chunk for allocation in there) + 1)
         chunks, first = (known.chunks, known.next) if known is not None else (0, 0)
         most = self._most_changes - 2
         allocations: list[tuple[AllocationKey, list[TaskEntry]]] = []
@@ -157,9 +157,9 @@
                 sources = {s for s, indices in grant.moved.items() if any(e.index in indices for e in piece)}
                 if len(allocations) + 1 + sum(map(self._pieces, sources | set(moved))) > most:
                     break
-                where = AllocationKey(self.view.zones.name(grant.zone), ref, chunks)
+                allocation = AllocationKey(self.view.zones.name(grant.zone), job_id, chunks)
                 chunks += 1
-                allocations.append((where, piece))
+                allocations.append((allocation, piece))
                 taken = {e.index for e in piece}
                 fresh |= taken - moved_here
                 for source in sources:
@@ -168,13 +168,13 @@
         while first in fresh:
             fresh.discard(first)
             first += 1
-        kept = [(where, [e for e in entries if e.index not in fresh]) for where, entries in allocations]
+        kept = [(allocation, [e for e in entries if e.index not in fresh]) for allocation, entries in allocations]
         tasks = sum(len(entries) for _, entries in kept)
-        writes = [Write(str(where), AllocationRecord(entries)) for where, entries in kept if entries]
-        if known is None and not moved and first == state.jobs[ref].spec.tasks:
-            return JobAdmission(ref, tasks, writes)
-        count = Write(records.ADMISSION + ref, AdmissionRecord(first, chunks))
-        return JobAdmission(ref, tasks, [count, *writes, *self._shrunk(moved)])
+        writes = [Write(str(allocation), AllocationRecord(entries)) for allocation, entries in kept if entries]
+        if known is None and not moved and first == state.jobs[job_id].spec.tasks:
+            return JobAdmission(job_id, tasks, writes)
+        count = Write(records.ADMISSION + job_id, AdmissionRecord(first, chunks))
+        return JobAdmission(job_id, tasks, [count, *writes, *self._shrunk(moved)])
 
     def _pieces(self, source: AllocationKey) -> int:
         """How many changes it takes at most to write a record again."""
@@ -187,8 +187,8 @@
             left = [e for e in record.tasks if e.index not in indices]
             if left:
                 out += [
-                    Write(str(where), piece)
-                    for where, piece in records.split(source, AllocationRecord(left), self._record_tasks)
+                    Write(str(allocation), piece)
+                    for allocation, piece in records.split(source, AllocationRecord(left), self._record_tasks)
                 ]
             else:
                 out.append(Write(str(source), None))
@@ -206,12 +206,12 @@
         # The count is guarded also where it is not written: once there is one, a late repeat of the transaction that
         # admitted a job as a whole does nothing, whatever has become of its allocations.
         guards = {key for c in batch.changes for key in (records.JOB + c.job, records.ADMISSION + c.job)}
-        outcome = await self.replica.commit(batch.writes, guards, urgency=urgency, pinned={records.LEADER: term})
-        self._settle(reservations, outcome)
-        if outcome.verdict is Verdict.DONE:
+        result = await self.replica.commit(batch.writes, guards, urgency=urgency, pinned={records.LEADER: term})
+        self._settle(reservations, result)
+        if result.status is TransactionStatus.COMMITTED:
             await self._wake()
-        elif outcome.verdict is not Verdict.REFUSED:
-            log.info("leader transaction: %s %s", outcome.verdict.value, outcome.failed)
+        elif result.status is not TransactionStatus.NOT_EXECUTED:
+            log.info("leader transaction: %s %s", result.status.value, result.failed_keys)
 
     def _reserve(self, batch: _Batch, term: int) -> list[Reservation]:
         """Charges the batch to its teams; what a limit does not allow any more leaves the batch, to be planned again."""
@@ -244,16 +244,16 @@
                 self.view.ledger.describe(team),
             )
 
-    def _settle(self, reservations: list[Reservation], outcome: Outcome) -> None:
+    def _settle(self, reservations: list[Reservation], result: TransactionResult) -> None:
         """Releases reservations once the table shows what became of the transaction; until then they stand.
 
         A conflict may mean that an earlier copy of the transaction was carried out whose answer was lost.
         """
         self.view.update()
-        certain = outcome.verdict not in (Verdict.CONFLICT, Verdict.UNKNOWN)
-        shown = outcome.verdict is Verdict.CONFLICT and outcome.revision <= self.replica.state.revision
+        certain = result.status not in (TransactionStatus.CONFLICT, TransactionStatus.UNKNOWN)
+        shown = result.status is TransactionStatus.CONFLICT and result.revision <= self.replica.state.revision
         for reservation in reservations:
             if certain or shown:
                 self.view.ledger.release(reservation)
-            elif outcome.verdict is Verdict.CONFLICT:
-                reservation.shown_by = outcome.revision
+            elif result.status is TransactionStatus.CONFLICT:
+                reservation.shown_by = result.revision
--- a/spurarch/coordination/allocation_changes.py
+++ b/spurarch/coordination/allocation_changes.py
@@ -5,12 +5,12 @@
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 
 SAVE_FACTOR, SAVE_MARGIN_S = 1.5, 1.0  # the time that a task is given to save, from what its owner says it takes
 
 
-def live(state: State, job: str) -> bool:
+def live(state: ClusterState, job: str) -> bool:
     """The job is on record and not cancelled."""
     record: JobRecord | None = state.jobs.get(job)
     return record is not None and not record.cancelled
@@ -21,7 +21,7 @@
     return spec.checkpoint_duration_s * SAVE_FACTOR + SAVE_MARGIN_S if spec.checkpoint_interval_s > 0 else 0.0
 
 
-def is_live_gang(state: State, job: str) -> bool:
+def is_live_gang(state: ClusterState, job: str) -> bool:
     """The job is on record, not cancelled, and its tasks start together."""
     return live(state, job) and state.jobs[job].spec.kind == wire.GANG
 
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -23,7 +23,7 @@
 from spurarch.settings import Platform, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
-from spurarch.storage.limits import lend
+from spurarch.storage.limits import borrowed_share
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store, StoreUnavailableError
 from spurarch.transport.http import Request, Response
@@ -190,7 +190,7 @@
             await curio.Event().wait()  # until another history is open, in which this controller begins anew
         while True:
             try:
-                await self.replica.load_small()
+                await self.replica.load_ownership()
                 await self.membership.claim()
                 break
             except StoreUnavailableError as err:
@@ -242,11 +242,11 @@
         if path == wire.PATH_JOBS:
             return await self.users.submit(request.body) if request.method == "POST" else error(405, "use POST")
         if path.startswith(wire.PATH_JOBS + "/"):
-            ref, _, rest = path[len(wire.PATH_JOBS) + 1 :].partition("/")
+            job_id, _, rest = path[len(wire.PATH_JOBS) + 1 :].partition("/")
             if not rest:
-                return await self.users.poll(ref) if request.method == "GET" else error(405, "use GET")
+                return await self.users.poll(job_id) if request.method == "GET" else error(405, "use GET")
             if rest == wire.PATH_CANCEL:
-                return await self.users.cancel(ref) if request.method == "POST" else error(405, "use POST")
+                return await self.users.cancel(job_id) if request.method == "POST" else error(405, "use POST")
         return error(404, "no such path")
 
     async def _heartbeat(self, request: Request) -> Response:
@@ -288,7 +288,7 @@
             return peer_messages.encode(await self._pong())
         if isinstance(hint, peer_messages.Cancelled):
             self.reachability.note_cancelled(hint.jobs, time.monotonic())
-            await self.replica.ring()
+            await self.replica.notify()
         return peer_messages.encode(peer_messages.Wake())
 
     def _note_refusals(self, load: peer_messages.Load) -> None:
@@ -296,14 +296,14 @@
         before = self._loads.get(load.node)
         announced = self.platform.deployment.state.next is not None
         if announced and before is not None and load.writes_refused > before[0].writes_refused:
-            self.store.note_peer_refused()
+            self.store.record_peer_throttled()
 
     async def _pong(self) -> peer_messages.Pong:
         """What this controller knows, whether or not it reaches the state service: a peer may go on by it."""
         reaches = self.replica.loaded and await self.replica.sync(0.8)
         state, now = self.replica.state, time.monotonic()
-        cancelled = {ref for ref, job in state.jobs.items() if job.cancelled} | set(self.reachability.cancelled)
-        parts = [(zone, p.node, p.epoch) for zone, p in state.parts.items()]
+        cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled} | set(self.reachability.cancelled)
+        parts = [(zone, p.node, p.epoch) for zone, p in state.partitions.items()]
         read = self.replica.synced_at
         age_s, up_s = now - read if read > float("-inf") else -1.0, now - self._began
         if not self.store.trusted:
@@ -312,9 +312,9 @@
             age_s, up_s = -1.0, 0.0
         return peer_messages.Pong(self.platform.node, self.boot, reaches, sorted(cancelled), parts, age_s, up_s)
 
-    async def _tell_cancelled(self, ref: str) -> None:
+    async def _tell_cancelled(self, job_id: str) -> None:
         """Peers may be cut from the state service at this moment, and the service down in the next."""
-        frame = peer_messages.encode(peer_messages.Cancelled([ref]))
+        frame = peer_messages.encode(peer_messages.Cancelled([job_id]))
         for client in self.peers.values():
             await curio.spawn(client.call, frame, 0.5, daemon=True)
 
@@ -331,7 +331,7 @@
             if self.stall_detector.beat(time.monotonic()) != woke_at:
                 log.warning("this process stood still; it reads the state service before it goes on")
                 await curio.spawn(self._follow, daemon=True)
-            await self.replica.ring()
+            await self.replica.notify()
             due = time.monotonic() + BEAT_S
             await curio.sleep(BEAT_S)
             self._lag.note(time.monotonic() - due)
@@ -353,7 +353,7 @@
         nodes = [node, *self.peers]
         while True:
             leader = state.leader.node if state.leader is not None else None
-            shares = rate_shares(nodes, [partition.node for partition in state.parts.values()], leader)
+            shares = rate_shares(nodes, [partition.node for partition in state.partitions.values()], leader)
             now = time.monotonic()
             recent = {n: load for n, (load, at) in self._loads.items() if now - at < 3 * SHARE_S}
             total = self.platform.deployment.state.write_rps
@@ -362,11 +362,11 @@
                 *self.store.recent_writes(),
                 self.owner.strangers(now),
                 self.owner.returns.unrecorded(),
-                self.store.writes_refused,
+                self.store.throttled_writes,
             )
             self.owner.returns.heard_elsewhere = {n: dict(load.strangers) for n, load in recent.items()}
             recent[node] = mine
-            writes = lend(
+            writes = borrowed_share(
                 node,
                 {n: w for n, (_, w) in shares.items()},
                 {n: load.writes / total for n, load in recent.items()},
@@ -401,4 +401,4 @@
         hint = peer_messages.decode(answer) if answer is not None else None
         if isinstance(hint, peer_messages.Pong):
             self.reachability.pong(node, sent, time.monotonic(), hint, self.replica.synced_at)
-            await self.replica.ring()
+            await self.replica.notify()
--- a/spurarch/coordination/failures.py
+++ b/spurarch/coordination/failures.py
@@ -41,20 +41,20 @@
         self._machines = machines
         self.backoffs: dict[str, JobBackoff] = defaultdict(JobBackoff)
 
-    def judge(self, machine: Machine, run: TaskAttempt, now: float) -> None:
+    def judge(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         """Learns from the way a task ended."""
-        backoff = self.backoffs[run.where.job]
-        if run.why == wire.REASON_ERROR:
+        backoff = self.backoffs[attempt.where.job]
+        if attempt.why == wire.REASON_ERROR:
             self._blame(machine, backoff)
             backoff.back_off(now)
-            log.info("task %s/%d failed on %s (attempt %d)", *run.key, machine.name, run.attempt)
+            log.info("task %s/%d failed on %s (attempt %d)", *attempt.key, machine.name, attempt.attempt)
             if machine.failures >= FAULTS_BEFORE_PAUSE:
                 machine.avoid_until = now + FAULT_PAUSE_S * machine.failures
-        elif run.why in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
+        elif attempt.why in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
             machine.pause_until = now + REFUSAL_PAUSE_S
-        elif run.why == wire.REASON_UNKNOWN_TASK:
+        elif attempt.why == wire.REASON_UNKNOWN_TASK:
             backoff.back_off(now)
-        elif run.why == wire.REASON_DONE:
+        elif attempt.why == wire.REASON_DONE:
             backoff.failures, backoff.good = 0, True
             machine.failures = 0
 
--- a/spurarch/coordination/gang.py
+++ b/spurarch/coordination/gang.py
@@ -67,12 +67,12 @@
 
     # Records and reports coming in
 
-    def record(self, where: AllocationKey, entries: list[TaskEntry] | None) -> None:
+    def record(self, allocation: AllocationKey, entries: list[TaskEntry] | None) -> None:
         """Takes one allocation record in, or its removal."""
         if entries is None:
-            self._entries.pop(where, None)
+            self._entries.pop(allocation, None)
         else:
-            self._entries[where] = entries
+            self._entries[allocation] = entries
             self.attempt = max([self.attempt, *(entry.attempt for entry in entries)])
 
     def settle(self) -> None:
--- a/spurarch/coordination/job_ends.py
+++ b/spurarch/coordination/job_ends.py
@@ -11,7 +11,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import AllocationKey, FinalRecord
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Verdict
+from spurarch.storage.store import TransactionStatus
 
 log = logging.getLogger(__name__)
 
@@ -46,53 +46,53 @@
         for key in self._changed_keys:
             if key.startswith(records.JOB):
                 self._jobs[key[len(records.JOB) :]] = None
-            elif key.startswith(records.ALLOT):
+            elif key.startswith(records.ALLOCATION):
                 self._jobs[AllocationKey.parse(key).job] = None
         self._changed_keys.clear()
         batch: list[Write] = []
         guards: set[str] = set()
         refs: list[str] = []
-        for ref in list(self._jobs)[:MOST_ENDED]:
-            final = self.final(ref)
+        for job_id in list(self._jobs)[:MOST_ENDED]:
+            final = self.final(job_id)
             if final is None:
-                del self._jobs[ref]
+                del self._jobs[job_id]
                 continue
-            writes, more = self._final_writes(ref, final)
+            writes, more = self._final_writes(job_id, final)
             too_many = len(batch) + len(writes) > self._most_changes or len(guards) + len(more) > self._most_guards
             if batch and too_many:
                 await self._commit_ends(batch, guards, refs)
                 batch, guards, refs = [], set(), []
-                final = self.final(ref)
+                final = self.final(job_id)
                 if final is None:
                     continue
-                writes, more = self._final_writes(ref, final)
+                writes, more = self._final_writes(job_id, final)
             batch += writes
             guards |= more
-            refs.append(ref)
+            refs.append(job_id)
         if batch:
             await self._commit_ends(batch, guards, refs)
 
     async def _commit_ends(self, writes: list[Write], guards: set[str], refs: list[str]) -> None:
-        outcome = await self._replica.commit(writes, [records.LEADER, *guards])
-        if outcome.verdict is Verdict.INVALID and len(refs) > 1:
-            for ref in refs:  # one job that can't be ended must not keep the others from it
-                final = self.final(ref)
+        result = await self._replica.commit(writes, [records.LEADER, *guards])
+        if result.status is TransactionStatus.INVALID and len(refs) > 1:
+            for job_id in refs:  # one job that can't be ended must not keep the others from it
+                final = self.final(job_id)
                 if final is not None:
-                    alone, more = self._final_writes(ref, final)
-                    await self._commit_ends(alone, more, [ref])
-        log.debug("%d jobs end: %s", len(refs), outcome.verdict.value)
+                    alone, more = self._final_writes(job_id, final)
+                    await self._commit_ends(alone, more, [job_id])
+        log.debug("%d jobs end: %s", len(refs), result.status.value)
 
-    def final(self, ref: str) -> FinalRecord | None:
+    def final(self, job_id: str) -> FinalRecord | None:
         """The standing of a job that is over, or None."""
         state = self._replica.state
-        record = state.jobs.get(ref)
+        record = state.jobs.get(job_id)
         if record is None:
             return None
-        allocations = state.allocations.get(ref, {})
+        allocations = state.allocations.get(job_id, {})
         if record.cancelled:
             return None if allocations else FinalRecord(wire.CANCELLED, record.spec.tasks)
         self._view.update()
-        job = self._view.jobs.get(ref)
+        job = self._view.jobs.get(job_id)
         if job is None or job.ended < (1 if job.gang else record.spec.tasks):
             return None
         entries = [entry for allocation in allocations.values() for entry in allocation.tasks]
@@ -101,13 +101,13 @@
             return FinalRecord(wire.DONE, record.spec.tasks)  # members complete together, also those that were free
         return FinalRecord(wire.DONE, record.spec.tasks) if ended >= record.spec.tasks else None
 
-    def _final_writes(self, ref: str, final: FinalRecord) -> tuple[list[Write], set[str]]:
+    def _final_writes(self, job_id: str, final: FinalRecord) -> tuple[list[Write], set[str]]:
         state, most = self._replica.state, self._most_changes
-        writes = [Write(records.FINAL + ref, final), Write(records.JOB + ref, None)]
-        if ref in state.admitted:
-            writes.append(Write(records.ADMISSION + ref, None))
+        writes = [Write(records.FINAL + job_id, final), Write(records.JOB + job_id, None)]
+        if job_id in state.admissions:
+            writes.append(Write(records.ADMISSION + job_id, None))
         # What does not fit goes with the owners' clean-up of jobs that are over; all of it while changes are scarce.
-        rest = [str(key) for key in state.allocations.get(ref, {})]
-        if self._replica.store.ready(Urgency.ENDS):
+        rest = [str(key) for key in state.allocations.get(job_id, {})]
+        if self._replica.store.can_write_now(Urgency.ENDS):
             writes += [Write(key, None) for key in rest[: most - len(writes)]]
         return writes, set(rest[: self._most_guards])
--- a/spurarch/coordination/ledger_audit.py
+++ b/spurarch/coordination/ledger_audit.py
@@ -63,26 +63,26 @@
         self._under_way = False
         self.passes += 1
 
-    def _check_job(self, ref: str) -> int:
+    def _check_job(self, job_id: str) -> int:
         """Compares one job with its records; how many entries that took."""
         view = self._view
-        allocations = view.state.allocations.get(ref, {})
+        allocations = view.state.allocations.get(job_id, {})
         entries = charged = 0
         for record in allocations.values():
             entries += len(record.tasks)
             for entry in record.tasks:
                 charged += entry.state in CHARGED
-        job = view.jobs.get(ref)
-        if ref in view.state.jobs and (job is None or job.charged != charged):
-            self._differs(ref, job, charged)
+        job = view.jobs.get(job_id)
+        if job_id in view.state.jobs and (job is None or job.charged != charged):
+            self._differs(job_id, job, charged)
         return 1 + entries
 
-    def _differs(self, ref: str, job: JobView | None, charged: int) -> None:
+    def _differs(self, job_id: str, job: JobView | None, charged: int) -> None:
         view = self._view
         booked = job.charged if job is not None else 0
-        view.ledger.violations.note(f"{ref} is charged with {booked} tasks, and has {charged} on record")
-        view.take_again(ref)
-        team = view.jobs[ref].team
+        view.ledger.violations.note(f"{job_id} is charged with {booked} tasks, and has {charged} on record")
+        view.take_again(job_id)
+        team = view.jobs[job_id].team
         self._differed.add(team)
         view.ledger.stop(team, "its charges were not those on record")
 
--- a/spurarch/coordination/local_search.py
+++ b/spurarch/coordination/local_search.py
@@ -29,16 +29,18 @@
 
     A replica without work to go back to stays while its job is cancelled; one replica of a service moves at a time.
     """
-    stopping = {run.where.job for run in partition.runs.values() if run.stop or run.phase is not Phase.RUNNING}
+    stopping = {
+        attempt.where.job for attempt in partition.runs.values() if attempt.stop or attempt.phase is not Phase.RUNNING
+    }
     moved: set[str] = set()
     out = set()
-    for key, run in partition.runs.items():
-        job_view = view.jobs.get(run.where.job)
-        if job_view is None or not job_view.service or run.where.job in stopping or run.where.job in moved:
+    for key, attempt in partition.runs.items():
+        job_view = view.jobs.get(attempt.where.job)
+        if job_view is None or not job_view.service or attempt.where.job in stopping or attempt.where.job in moved:
             continue
         if job_view.assigned - 1 >= floor(job_view.tasks * tuning.service_minimum):
             out.add(key)
-            moved.add(run.where.job)  # one at a time
+            moved.add(attempt.where.job)  # one at a time
     return out
 
 
@@ -47,12 +49,12 @@
 ) -> Refinement:
     """One round of a part."""
     out = Refinement()
-    names, rooms, tasks, runs = _tables(partition, view, tuning)
+    names, rooms, tasks, attempts = _tables(partition, view, tuning)
     if tuning.consolidation_cap > 0 and not partition.free:
         out.empty = _to_empty(partition, names, rooms, tasks, tuning, now)
     emptying = frozenset(i for i, name in enumerate(names) if partition.machines[name].emptying or name == out.empty)
     if out.empty is not None:
-        out.moves += _move_off(names, rooms, tasks, runs, names.index(out.empty), emptying, tuning)
+        out.moves += _move_off(names, rooms, tasks, attempts, names.index(out.empty), emptying, tuning)
     if any(t.movable for t in tasks) and len(out.moves) < tuning.moves_per_round:
         weights = Weights(tuning.edge_weight, tuning.imbalance_weight, tuning.move_weight)
         search = Search(rooms, tasks, emptying, weights)
@@ -65,7 +67,7 @@
             tuning.margin,
             late,
         )
-        out.moves += [(runs[m.task], names[m.target]) for m in out.search.moves]
+        out.moves += [(attempts[m.task], names[m.target]) for m in out.search.moves]
     return out
 
 
@@ -87,17 +89,17 @@
     index = {name: i for i, name in enumerate(names)}
     free_to_move = movable(partition, view, tuning)
     tasks: list[Replica] = []
-    runs: list[TaskAttempt] = []
-    for key, run in partition.runs.items():
-        job = view.jobs.get(run.where.job)
-        if job is not None and run.machine in index and run.phase < Phase.EXITED:
-            at = index[run.machine]
-            tasks.append(Replica(len(runs), job.need, at, at, key in free_to_move, job.service or job.gang))
-            runs.append(run)
+    attempts: list[TaskAttempt] = []
+    for key, attempt in partition.runs.items():
+        job = view.jobs.get(attempt.where.job)
+        if job is not None and attempt.machine in index and attempt.phase < Phase.EXITED:
+            at = index[attempt.machine]
+            tasks.append(Replica(len(attempts), job.need, at, at, key in free_to_move, job.service or job.gang))
+            attempts.append(attempt)
     for i, name in enumerate(names):
         if not partition.machines[name].open:
             rooms[i].free_cpus = -1.0  # takes nothing
-    return names, rooms, tasks, runs
+    return names, rooms, tasks, attempts
 
 
 def _to_empty(
@@ -123,7 +125,7 @@
     names: list[str],
     rooms: list[Room],
     tasks: list[Replica],
-    runs: list[TaskAttempt],
+    attempts: list[TaskAttempt],
     source: int,
     emptying: frozenset[int],
     tuning: Tuning,
@@ -139,5 +141,5 @@
             room.take(task.need)
             rooms[source].give(task.need)
             task.movable = False
-            out.append((runs[task.task], names[rooms.index(room)]))
+            out.append((attempts[task.task], names[rooms.index(room)]))
     return out
--- a/spurarch/coordination/membership.py
+++ b/spurarch/coordination/membership.py
@@ -15,7 +15,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import LeaderRecord, MemberRecord, PartitionRecord
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Verdict
+from spurarch.storage.store import TransactionStatus
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
     out: dict[str, str] = {}
     for zone in zones:
         partition = parts.get(zone)
-        able = [m for m in members.values() if zone not in m.unfit]
+        able = [m for m in members.values() if zone not in m.isolated_zones]
         if not able and partition is not None and partition.node in members:
             continue
         able = able or list(members.values())
@@ -66,7 +66,7 @@
         choice = min(home or [m.node for m in able], key=lambda node: (load[node], node), default=None)
         if choice is None or (partition is not None and choice == partition.node):
             continue
-        if partition is not None and partition.node in load and zone not in members[partition.node].unfit:
+        if partition is not None and partition.node in load and zone not in members[partition.node].isolated_zones:
             uneven = load[partition.node] > load[choice] + 1
             if partition.node in home or choice not in settled or not (home or uneven):
                 continue
@@ -114,7 +114,7 @@
     def leading(self) -> bool:
         """This process is the leader on record."""
         leader = self.replica.state.leader
-        return leader is not None and leader.node == self.node and leader.boot == self.boot
+        return leader is not None and leader.node == self.node and leader.process_incarnation == self.boot
 
     @property
     def confirmed_term(self) -> int | None:
@@ -126,13 +126,15 @@
         """
         state = self.replica.state
         term = state.version(records.LEADER)
-        return term if self.leading and self.replica.whole and state.revision >= term else None
+        return term if self.leading and self.replica.consistent and state.revision >= term else None
 
     def holds(self, zone: str) -> PartitionRecord | None:
         """The part's record if this process holds it."""
-        partition = self.replica.state.parts.get(zone)
+        partition = self.replica.state.partitions.get(zone)
         return (
-            partition if partition is not None and partition.node == self.node and partition.boot == self.boot else None
+            partition
+            if partition is not None and partition.node == self.node and partition.process_incarnation == self.boot
+            else None
         )
 
     def note_unheard(self, zone: str, now: float) -> None:
@@ -186,26 +188,30 @@
         dark = sorted(zone for zone in self._dark if self.holds(zone) is not None)
         record = MemberRecord(self.node, self.boot, self.area, unfit, dark, self.version)
         if self._lease is not None and member != record:
-            outcome = await self.replica.commit(
+            result = await self.replica.commit(
                 [Write(records.MEMBER + self.node, record, self._lease)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
             )
-            if outcome.verdict is Verdict.NO_LEASE:
+            if result.status is TransactionStatus.NO_LEASE:
                 self._lease = None
 
     async def _elect(self) -> None:
         leader = self.replica.state.leader
         member = self.replica.state.members.get(self.node)
-        if self._lease is None or member is None or member.boot != self.boot:
+        if self._lease is None or member is None or member.process_incarnation != self.boot:
             return
-        if leader is None or (leader.node == self.node and leader.boot != self.boot) or self._outdated(leader):
-            outcome = await self.replica.commit(
+        if (
+            leader is None
+            or (leader.node == self.node and leader.process_incarnation != self.boot)
+            or self._outdated(leader)
+        ):
+            result = await self.replica.commit(
                 [Write(records.LEADER, LeaderRecord(self.node, self.boot), self._lease)],
                 give_up_s=2.0,
                 urgency=Urgency.MEMBERSHIP,
             )
-            if outcome.verdict is Verdict.DONE:
-                log.info("leading: term %d, by records of revision %d", outcome.revision, self.replica.state.revision)
-            elif outcome.verdict is Verdict.NO_LEASE:
+            if result.status is TransactionStatus.COMMITTED:
+                log.info("leading: term %d, by records of revision %d", result.revision, self.replica.state.revision)
+            elif result.status is TransactionStatus.NO_LEASE:
                 self._lease = None
 
     def _gangs(self) -> bool:
@@ -220,15 +226,20 @@
     async def _assign(self) -> None:
         state, now = self.replica.state, time.monotonic()
         for node, member in state.members.items():
-            if self._seen.get(node, ("", 0.0))[0] != member.boot:
-                self._seen[node] = member.boot, now
+            if self._seen.get(node, ("", 0.0))[0] != member.process_incarnation:
+                self._seen[node] = member.process_incarnation, now
         settled = {n for n, (_, at) in self._seen.items() if n in state.members and now - at >= HOME_AFTER_S}
-        for zone, node in assign_partitions(self.zones, state.parts, state.members, settled, self._gangs()).items():
-            partition = state.parts.get(zone)
+        for zone, node in assign_partitions(
+            self.zones, state.partitions, state.members, settled, self._gangs()
+        ).items():
+            partition = state.partitions.get(zone)
             record = PartitionRecord(node, partition.epoch + 1 if partition else 1)
             log.info("partition %s goes to %s (epoch %d)", zone, node, record.epoch)
             await self.replica.commit(
-                [Write(records.PART + zone, record)], guards=[records.LEADER], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
+                [Write(records.PARTITION + zone, record)],
+                guards=[records.LEADER],
+                give_up_s=2.0,
+                urgency=Urgency.MEMBERSHIP,
             )
 
     async def claim(self) -> None:
@@ -236,11 +247,11 @@
 
         A process that starts again claims at once: what its predecessor sent carries lower tokens from then on.
         """
-        for zone, partition in list(self.replica.state.parts.items()):
-            if partition.node == self.node and partition.boot != self.boot:
+        for zone, partition in list(self.replica.state.partitions.items()):
+            if partition.node == self.node and partition.process_incarnation != self.boot:
                 record = PartitionRecord(self.node, partition.epoch + 1, self.boot)
-                outcome = await self.replica.commit(
-                    [Write(records.PART + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
+                result = await self.replica.commit(
+                    [Write(records.PARTITION + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
                 )
-                if outcome.verdict is Verdict.DONE:
+                if result.status is TransactionStatus.COMMITTED:
                     log.info("holding partition %s (epoch %d)", zone, record.epoch)
--- a/spurarch/coordination/partition.py
+++ b/spurarch/coordination/partition.py
@@ -18,7 +18,7 @@
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord, MachineRecord, TaskEntry
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 
 log = logging.getLogger(__name__)
 
@@ -114,32 +114,32 @@
 
     # Records coming in
 
-    def take_records(self, state: State, keys: Iterable[str], now: float) -> None:
+    def take_records(self, state: ClusterState, keys: Iterable[str], now: float) -> None:
         """Follows changed records of this part."""
         self.now = now
         for key in keys:
-            if key.startswith(records.ALLOT):
-                where = AllocationKey.parse(key)
-                if where.zone == self.zone:
-                    self._take_allocation(state, where, state.zone_allocations[self.zone].get(where), now)
+            if key.startswith(records.ALLOCATION):
+                allocation = AllocationKey.parse(key)
+                if allocation.zone == self.zone:
+                    self._take_allocation(state, allocation, state.zone_allocations[self.zone].get(allocation), now)
             elif key.startswith(records.MACHINE):
                 zone, name = records.parse_machine_key(key)
                 if zone == self.zone:
                     self._take_machine(name, state.machines[zone].get(name), now)
             elif key.startswith(records.JOB):
-                ref = key[len(records.JOB) :]
-                if not live(state, ref):
-                    self._job_over(ref)
+                job_id = key[len(records.JOB) :]
+                if not live(state, job_id):
+                    self._job_over(job_id)
         self._settle_gangs()
 
-    def _job_over(self, ref: str) -> None:
+    def _job_over(self, job_id: str) -> None:
         """The job ended or was cancelled: its tasks leave, and its allocations go."""
-        self._failures.backoffs.pop(ref, None)
-        self.gangs.drop(ref)
-        for where in self._by_job.get(ref, ()):
-            self.stale.add(where)
-            for run in self._by_allocation.get(where, {}).values():
-                self._revoke(run)
+        self._failures.backoffs.pop(job_id, None)
+        self.gangs.drop(job_id)
+        for allocation in self._by_job.get(job_id, ()):
+            self.stale.add(allocation)
+            for attempt in self._by_allocation.get(allocation, {}).values():
+                self._revoke(attempt)
 
     def _take_machine(self, name: str, record: MachineRecord | None, now: float) -> None:
         machine = self.machines.get(name)
@@ -151,7 +151,7 @@
             machine = self._new_machine(name, record.type, record.spot, record.addr)
             if name in self._returned:
                 machine.advance(Standing.GONE)  # a transaction that put it on record was carried out late
-        machine.open = record.open
+        machine.open = record.schedulable
 
     def _new_machine(self, name: str, kind: str, spot: bool, addr: str, willing: bool = True) -> Machine:
         machine = Machine(name, self.zone, kind, spot, addr, self.now, open=willing)
@@ -159,136 +159,140 @@
         self.machines[name] = machine
         return machine
 
-    def _take_allocation(self, state: State, where: AllocationKey, record: AllocationRecord | None, now: float) -> None:
-        mine = self._by_allocation.get(where, {})
-        if is_live_gang(state, where.job):
-            spec = state.jobs[where.job].spec
-            gang = self.gangs.track(where.job, spec.tasks, save_grace_s(spec))
-            gang.record(where, record.tasks if record is not None else None)
+    def _take_allocation(
+        self, state: ClusterState, allocation: AllocationKey, record: AllocationRecord | None, now: float
+    ) -> None:
+        mine = self._by_allocation.get(allocation, {})
+        if is_live_gang(state, allocation.job):
+            spec = state.jobs[allocation.job].spec
+            gang = self.gangs.track(allocation.job, spec.tasks, save_grace_s(spec))
+            gang.record(allocation, record.tasks if record is not None else None)
         if record is None:
-            self.free.pop(where, None)
-            for run in list(mine.values()):
-                if not self._rehome(state, run):
-                    self._forget_run(run)
-            self._by_allocation.pop(where, None)
-            self._by_job[where.job].discard(where)
-            if not self._by_job[where.job]:
-                del self._by_job[where.job]
-                self.gangs.drop(where.job)
+            self.free.pop(allocation, None)
+            for attempt in list(mine.values()):
+                if not self._rehome(state, attempt):
+                    self._forget_run(attempt)
+            self._by_allocation.pop(allocation, None)
+            self._by_job[allocation.job].discard(allocation)
+            if not self._by_job[allocation.job]:
+                del self._by_job[allocation.job]
+                self.gangs.drop(allocation.job)
             return
-        if where not in self._by_allocation:
-            mine = self._by_allocation[where] = {}
-            self._by_job[where.job].add(where)
-        wanted = live(state, where.job)
+        if allocation not in self._by_allocation:
+            mine = self._by_allocation[allocation] = {}
+            self._by_job[allocation.job].add(allocation)
+        wanted = live(state, allocation.job)
         if not wanted:
-            self.stale.add(where)
+            self.stale.add(allocation)
         assigned = {e.index: e for e in record.tasks if e.state == records.ASSIGNED}
-        for index, run in list(mine.items()):
+        for index, attempt in list(mine.items()):
             entry = assigned.get(index)
-            if entry is None and self._rehome(state, run):
+            if entry is None and self._rehome(state, attempt):
                 continue
-            if entry is None or (entry.machine, entry.attempt) != (run.machine, run.attempt):
-                self._forget_run(run)
+            if entry is None or (entry.machine, entry.attempt) != (attempt.machine, attempt.attempt):
+                self._forget_run(attempt)
         for index, entry in assigned.items():
             if index not in mine:
-                self._new_run(where, entry, wanted, now)
+                self._new_run(allocation, entry, wanted, now)
         free = [e for e in record.tasks if e.state == records.FREE]
         if free and wanted:
-            self.free[where] = free
+            self.free[allocation] = free
         else:
-            self.free.pop(where, None)
+            self.free.pop(allocation, None)
 
-    def _new_run(self, where: AllocationKey, entry: TaskEntry, wanted: bool, now: float) -> None:
+    def _new_run(self, allocation: AllocationKey, entry: TaskEntry, wanted: bool, now: float) -> None:
         machine = self.machines.get(entry.machine)
         if machine is None:
             machine = self._new_machine(entry.machine, "", False, "", willing=False)
-        run = TaskAttempt(where, entry.index, entry.attempt, entry.machine, entry.session, now)
-        self._by_allocation[where][entry.index] = self.runs[run.key] = machine.runs[run.key] = run
-        gang = self.gangs.get(where.job)
+        attempt = TaskAttempt(allocation, entry.index, entry.attempt, entry.machine, entry.incarnation, now)
+        self._by_allocation[allocation][entry.index] = self.runs[attempt.key] = machine.runs[attempt.key] = attempt
+        gang = self.gangs.get(allocation.job)
         if gang is not None:
-            gang.members[run.index] = run
+            gang.members[attempt.index] = attempt
         machine.idle_since = None
         machine.tasks_seen = None
         self.attention[machine.name] = None
-        if run.session < machine.session or (machine.standing is Standing.LOST and run.session <= machine.lost_session):
-            self.step(run, Phase.GONE)  # recorded onto a session that was over by then
+        if attempt.session < machine.session or (
+            machine.standing is Standing.LOST and attempt.session <= machine.lost_session
+        ):
+            self.step(attempt, Phase.GONE)  # recorded onto a session that was over by then
         elif machine.standing is Standing.GONE:
-            self.step(run, Phase.GONE)
+            self.step(attempt, Phase.GONE)
         if not wanted:
-            self._revoke(run)
+            self._revoke(attempt)
 
-    def _rehome(self, state: State, run: TaskAttempt) -> bool:
+    def _rehome(self, state: ClusterState, attempt: TaskAttempt) -> bool:
         """Follows a task whose entry went to another record of the same job, as when a record is split.
 
         Its state is kept: forgetting an end that is not recorded yet would have the task run once more.
         """
-        for where, record in state.allocations.get(run.where.job, {}).items():
-            if where.zone != self.zone or where == run.where:
+        for allocation, record in state.allocations.get(attempt.where.job, {}).items():
+            if allocation.zone != self.zone or allocation == attempt.where:
                 continue
             for entry in record.tasks:
-                same = (entry.index, entry.machine, entry.attempt) == (run.index, run.machine, run.attempt)
+                same = (entry.index, entry.machine, entry.attempt) == (attempt.index, attempt.machine, attempt.attempt)
                 if same and entry.state == records.ASSIGNED:
-                    self._move_run(run, where)
+                    self._move_run(attempt, allocation)
                     return True
         return False
 
-    def _move_run(self, run: TaskAttempt, where: AllocationKey) -> None:
+    def _move_run(self, attempt: TaskAttempt, allocation: AllocationKey) -> None:
         for table in (self._by_allocation, self.over):
-            if table.get(run.where, {}).pop(run.index, None) is run:
-                table.setdefault(where, {})[run.index] = run
-        self._drop_empty(run.where)
-        self._by_job[where.job].add(where)
-        if run.phase >= Phase.EXITED and run.why != wire.REASON_DONE:
-            self._restarting.add(where)
-        run.where = where
-
-    def _drop_empty(self, where: AllocationKey) -> None:
-        if not self.over.get(where, True):
-            del self.over[where]
-            self._restarting.discard(where)
-
-    def _forget_run(self, run: TaskAttempt) -> None:
-        if self.runs.get(run.key) is run:
-            del self.runs[run.key]
-        gang = self.gangs.get(run.where.job)
-        if gang is not None and gang.members.get(run.index) is run:
-            del gang.members[run.index]
+            if table.get(attempt.where, {}).pop(attempt.index, None) is attempt:
+                table.setdefault(allocation, {})[attempt.index] = attempt
+        self._drop_empty(attempt.where)
+        self._by_job[allocation.job].add(allocation)
+        if attempt.phase >= Phase.EXITED and attempt.why != wire.REASON_DONE:
+            self._restarting.add(allocation)
+        attempt.where = allocation
+
+    def _drop_empty(self, allocation: AllocationKey) -> None:
+        if not self.over.get(allocation, True):
+            del self.over[allocation]
+            self._restarting.discard(allocation)
+
+    def _forget_run(self, attempt: TaskAttempt) -> None:
+        if self.runs.get(attempt.key) is attempt:
+            del self.runs[attempt.key]
+        gang = self.gangs.get(attempt.where.job)
+        if gang is not None and gang.members.get(attempt.index) is attempt:
+            del gang.members[attempt.index]
             self.gangs.note(gang.job)
         for table in (self._by_allocation, self.over):
-            runs = table.get(run.where)
-            if runs is not None and runs.get(run.index) is run:
-                del runs[run.index]
-        self._drop_empty(run.where)
-        machine = self.machines.get(run.machine)
+            attempts = table.get(attempt.where)
+            if attempts is not None and attempts.get(attempt.index) is attempt:
+                del attempts[attempt.index]
+        self._drop_empty(attempt.where)
+        machine = self.machines.get(attempt.machine)
         if machine is not None:
-            if machine.runs.get(run.key) is run:
-                del machine.runs[run.key]
-            if run.phase is Phase.EXITED:
-                machine.forget[run.key] = run.attempt
-                if self.coverage is not None and run.why == wire.REASON_DONE:
-                    machine.unarchived[run.key] = self.coverage.recorded()
-
-    def step(self, run: TaskAttempt, phase: Phase, why: str | None = None) -> bool:
+            if machine.runs.get(attempt.key) is attempt:
+                del machine.runs[attempt.key]
+            if attempt.phase is Phase.EXITED:
+                machine.forget[attempt.key] = attempt.attempt
+                if self.coverage is not None and attempt.why == wire.REASON_DONE:
+                    machine.unarchived[attempt.key] = self.coverage.recorded()
+
+    def step(self, attempt: TaskAttempt, phase: Phase, why: str | None = None) -> bool:
         """Changes a task's phase; what has ended is noted, to be recorded."""
-        if not run.advance(phase, why):
+        if not attempt.advance(phase, why):
             return False
         if phase in (Phase.EXITED, Phase.GONE):
-            run.over_at = self.now
+            attempt.over_at = self.now
             self.occasions += 1
-            self.over[run.where][run.index] = run
+            self.over[attempt.where][attempt.index] = attempt
             if phase is Phase.GONE or why != wire.REASON_DONE:
-                self._restarting.add(run.where)
-        self.gangs.note(run.where.job)
+                self._restarting.add(attempt.where)
+        self.gangs.note(attempt.where.job)
         return True
 
     def _settle_gangs(self) -> None:
         """Members of a gang leave together: whatever happened to one of them decides for all."""
-        for run, grace_s in self.gangs.settle():
-            if self._hears_us(run.machine):
-                self._stop_one(run, grace_s)
+        for attempt, grace_s in self.gangs.settle():
+            if self._hears_us(attempt.machine):
+                self._stop_one(attempt, grace_s)
             else:
                 # The stop may come too late for the others, so that nothing is saved: they need not wait for it.
-                self._stop_one(run, 0.0)
+                self._stop_one(attempt, 0.0)
 
     def _hears_us(self, name: str) -> bool:
         machine = self.machines.get(name)
@@ -325,9 +329,9 @@
         self._prove_absent(machine, heartbeat)
         self._settle_gangs()
         commands = self.commands(machine, heartbeat)
-        for run in machine.runs.values():
-            if run.phase is Phase.STARTING:
-                run.sent_seq = heartbeat.seq
+        for attempt in machine.runs.values():
+            if attempt.phase is Phase.STARTING:
+                attempt.sent_seq = heartbeat.seq
         return commands
 
     def _note_strange(self, heartbeat: wire.Heartbeat, reason: str) -> None:
@@ -377,9 +381,9 @@
         if not self.base + machine.birth <= heartbeat.fencing_token <= self.base + self._counter:
             return
         if heartbeat.incarnation > machine.session:
-            for run in list(machine.runs.values()):
-                if run.session < heartbeat.incarnation:
-                    self.step(run, Phase.GONE)
+            for attempt in list(machine.runs.values()):
+                if attempt.session < heartbeat.incarnation:
+                    self.step(attempt, Phase.GONE)
             machine.forget.clear()
             machine.fence = 0  # commands name their session
             machine.revoked_at = None  # what was on it is gone
@@ -408,31 +412,31 @@
 
     def _save_gangs(self, machine: Machine, notice_s: float) -> None:
         """The machine will be taken away: gangs on it save what they have while all of their members still can."""
-        for run in machine.runs.values():
-            gang = self.gangs.get(run.where.job)
-            if gang is None or run.stop or gang.state is not GangState.RUNNING:
+        for attempt in machine.runs.values():
+            gang = self.gangs.get(attempt.where.job)
+            if gang is None or attempt.stop or gang.state is not GangState.RUNNING:
                 continue
             if 0 < gang.save_grace_s < notice_s - NOTICE_MARGIN_S:
-                self._stop_one(run, gang.save_grace_s)
+                self._stop_one(attempt, gang.save_grace_s)
 
     def _observe_task(self, machine: Machine, task: wire.TaskStatus, now: float) -> None:
         parsed = wire.split_task(task.task)
-        run = machine.runs.get(parsed) if parsed else None
-        if run is None or run.attempt != task.attempt:
+        attempt = machine.runs.get(parsed) if parsed else None
+        if attempt is None or attempt.attempt != task.attempt:
             return
         phase = observed_phase(task)
         if phase is None:
             self._note_unknown_state(task.state)
             return
-        if self.step(run, phase, task.exit_reason):
+        if self.step(attempt, phase, task.exit_reason):
             if phase is Phase.RUNNING:
-                run.running_at = now
+                attempt.running_at = now
             if phase in (Phase.GATHERING, Phase.RUNNING):
-                image = self._image_of(run.where.job)
+                image = self._image_of(attempt.where.job)
                 if image is not None:
                     machine.images.add(image)
             if phase is Phase.EXITED:
-                self._failures.judge(machine, run, now)
+                self._failures.judge(machine, attempt, now)
 
     def _note_unknown_state(self, state: str) -> None:
         """A state that this version does not know teaches nothing; workers may be newer than controllers."""
@@ -442,13 +446,13 @@
 
     def _prove_absent(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         """A task that has to go and is not in the report is off the machine, if no start can still be on its way."""
-        stopping = [run for run in machine.runs.values() if run.stop]
+        stopping = [attempt for attempt in machine.runs.values() if attempt.stop]
         if not stopping or not machine.fenced:
             return
         listed = {wire.split_task(t.task) for t in heartbeat.tasks}
-        for run in stopping:
-            if run.key not in listed and heartbeat.seq > run.sent_seq:
-                self.step(run, Phase.GONE)
+        for attempt in stopping:
+            if attempt.key not in listed and heartbeat.seq > attempt.sent_seq:
+                self.step(attempt, Phase.GONE)
 
     # Commands
 
@@ -466,17 +470,17 @@
             out += [wire.Command(wire.FORGET, wire.task_name(*k), a) for k, a in forget.items()]
         if heartbeat is not None:
             out += self._clean(machine, heartbeat)
-        for run in machine.runs.values():
-            if run.stop:
-                if run.phase < Phase.EXITED and not self._saving(run):
-                    out.append(wire.Command(wire.STOP, wire.task_name(*run.key), run.attempt, run.grace_s))
+        for attempt in machine.runs.values():
+            if attempt.stop:
+                if attempt.phase < Phase.EXITED and not self._saving(attempt):
+                    out.append(wire.Command(wire.STOP, wire.task_name(*attempt.key), attempt.attempt, attempt.grace_s))
             elif (
-                run.phase in (Phase.ASSIGNED, Phase.STARTING)
-                and run.session == machine.session
-                and self._startable(run)
+                attempt.phase in (Phase.ASSIGNED, Phase.STARTING)
+                and attempt.session == machine.session
+                and self._startable(attempt)
             ):
-                self.step(run, Phase.STARTING)
-                out.append(wire.Command(wire.START, wire.task_name(*run.key), run.attempt))
+                self.step(attempt, Phase.STARTING)
+                out.append(wire.Command(wire.START, wire.task_name(*attempt.key), attempt.attempt))
         return out
 
     @staticmethod
@@ -494,21 +498,21 @@
         machine.unarchived = dict(waiting[-UNARCHIVED_MOST:])
         return {key: attempt for key, attempt in machine.forget.items() if key not in machine.unarchived}
 
-    def _saving(self, run: TaskAttempt) -> bool:
+    def _saving(self, attempt: TaskAttempt) -> bool:
         """The task was told to save, and has time left for it. Members of a gang go on being reported as running."""
-        if run.grace_s <= 0:
+        if attempt.grace_s <= 0:
             return False
-        if run.stop_heard_at is not None:
-            return self.now - run.stop_heard_at < run.grace_s + SAVE_SLACK_S
-        return run.phase is Phase.STOPPING
+        if attempt.stop_heard_at is not None:
+            return self.now - attempt.stop_heard_at < attempt.grace_s + SAVE_SLACK_S
+        return attempt.phase is Phase.STOPPING
 
-    def _startable(self, run: TaskAttempt) -> bool:
+    def _startable(self, attempt: TaskAttempt) -> bool:
         if not self.may_start():
             return False
-        if self._by_allocation.get(run.where, {}).get(run.index) is not run:
-            self._violations.note(f"{run.key} would start on {run.machine} without a task on record")
+        if self._by_allocation.get(attempt.where, {}).get(attempt.index) is not attempt:
+            self._violations.note(f"{attempt.key} would start on {attempt.machine} without a task on record")
             return False
-        gang = self.gangs.get(run.where.job)
+        gang = self.gangs.get(attempt.where.job)
         return gang is None or gang.startable
 
     def _stop_cancelled(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
@@ -531,8 +535,8 @@
         kept: dict[tuple[str, int], int] = {}
         for task in heartbeat.tasks:
             key = wire.split_task(task.task)
-            run = machine.runs.get(key) if key else None
-            if run is not None and run.attempt == task.attempt:
+            attempt = machine.runs.get(key) if key else None
+            if attempt is not None and attempt.attempt == task.attempt:
                 continue
             if key and machine.forget.get(key) == task.attempt:
                 kept[key] = task.attempt
@@ -546,9 +550,9 @@
     def needs_command(self, machine: Machine) -> bool:
         """Something on the machine has to start or stop and has not been told so for certain."""
         return machine.standing is Standing.KNOWN and any(
-            (run.phase is Phase.ASSIGNED and not run.stop and self._startable(run))
-            or (run.stop and Phase.STARTING <= run.phase <= Phase.RUNNING and not self._saving(run))
-            for run in machine.runs.values()
+            (attempt.phase is Phase.ASSIGNED and not attempt.stop and self._startable(attempt))
+            or (attempt.stop and Phase.STARTING <= attempt.phase <= Phase.RUNNING and not self._saving(attempt))
+            for attempt in machine.runs.values()
         )
 
     def direct(self, machine: Machine) -> wire.DirectCommands | None:
@@ -567,9 +571,9 @@
         A machine whose reports don't arrive would never show that it can't, and its cancelled tasks have to leave.
         """
         return [
-            wire.Command(wire.STOP, wire.task_name(*run.key), run.attempt, 0.0)
-            for run in machine.runs.values()
-            if run.stop and run.grace_s == 0 and run.phase < Phase.EXITED
+            wire.Command(wire.STOP, wire.task_name(*attempt.key), attempt.attempt, 0.0)
+            for attempt in machine.runs.values()
+            if attempt.stop and attempt.grace_s == 0 and attempt.phase < Phase.EXITED
         ]
 
     def direct_answered(
@@ -581,12 +585,12 @@
             return
         for command in sent.commands:
             key = wire.split_task(command.task)
-            run = machine.runs.get(key) if key else None
-            if run is not None and command.op == wire.START and heartbeat.incarnation == machine.session:
-                run.sent_seq = max(run.sent_seq, heartbeat.seq)
+            attempt = machine.runs.get(key) if key else None
+            if attempt is not None and command.op == wire.START and heartbeat.incarnation == machine.session:
+                attempt.sent_seq = max(attempt.sent_seq, heartbeat.seq)
             executed = heartbeat.incarnation == sent.incarnation and heartbeat.fencing_token <= sent.fencing_token
-            if run is not None and command.op == wire.STOP and executed and run.attempt == command.attempt:
-                run.stop_heard_at = now
+            if attempt is not None and command.op == wire.STOP and executed and attempt.attempt == command.attempt:
+                attempt.stop_heard_at = now
         self.now = now
         self.observe(machine, heartbeat, now)
         self._settle_gangs()
@@ -609,45 +613,45 @@
                 log.info("machine %s is lost: silent for %.1f s", machine.name, now - (machine.heard_at or now))
                 machine.lost_session = machine.session
                 machine.advance(Standing.LOST)
-                for run in machine.runs.values():
-                    if run.revoked_at is not None:
+                for attempt in machine.runs.values():
+                    if attempt.revoked_at is not None:
                         # One that hangs does not even end what its lease no longer covers.
-                        machine.revoked_at = min(run.revoked_at, machine.revoked_at or run.revoked_at)
-                    self.step(run, Phase.GONE)
+                        machine.revoked_at = min(attempt.revoked_at, machine.revoked_at or attempt.revoked_at)
+                    self.step(attempt, Phase.GONE)
             if machine.runs:
                 machine.idle_since = None
             elif machine.idle_since is None:
                 machine.idle_since = now
         self._settle_gangs()
 
-    def stop(self, run: TaskAttempt, grace_s: float) -> None:
+    def stop(self, attempt: TaskAttempt, grace_s: float) -> None:
         """Has a task leave its machine, and with it the other members of its gang."""
-        self._stop_one(run, grace_s)
+        self._stop_one(attempt, grace_s)
         self._settle_gangs()
 
-    def _stop_one(self, run: TaskAttempt, grace_s: float) -> None:
-        run.stop, run.grace_s = True, grace_s
-        self.attention[run.machine] = None
-        if run.phase is Phase.ASSIGNED:
+    def _stop_one(self, attempt: TaskAttempt, grace_s: float) -> None:
+        attempt.stop, attempt.grace_s = True, grace_s
+        self.attention[attempt.machine] = None
+        if attempt.phase is Phase.ASSIGNED:
             # An earlier process may have sent a start, so absence has to be shown by a report all the same.
-            self.step(run, Phase.STARTING)
-        self.gangs.note(run.where.job)
+            self.step(attempt, Phase.STARTING)
+        self.gangs.note(attempt.where.job)
 
-    def stop_job(self, ref: str, now: float) -> None:
+    def stop_job(self, job_id: str, now: float) -> None:
         """Has all tasks of a cancelled job leave."""
         self.now = now
-        for where in self._by_job.get(ref, ()):
-            for run in self._by_allocation[where].values():
-                if run.revoked_at is None:
-                    self._revoke(run)
+        for allocation in self._by_job.get(job_id, ()):
+            for attempt in self._by_allocation[allocation].values():
+                if attempt.revoked_at is None:
+                    self._revoke(attempt)
 
-    def _revoke(self, run: TaskAttempt) -> None:
+    def _revoke(self, attempt: TaskAttempt) -> None:
         """The task's job is cancelled, or over in another way."""
-        ago = self.cancelled_ago(run.where.job)
-        if run.revoked_at is None and ago is not None:
-            run.revoked_at = self.now - ago
-            self.revoking[run.machine] = None
-        self.stop(run, 0.0)
+        ago = self.cancelled_ago(attempt.where.job)
+        if attempt.revoked_at is None and ago is not None:
+            attempt.revoked_at = self.now - ago
+            self.revoking[attempt.machine] = None
+        self.stop(attempt, 0.0)
 
     def overdue(self, machine: Machine) -> float | None:
         """Since when a cancelled task may be on a machine that has not shown that it left."""
@@ -664,39 +668,39 @@
         machine = self.machines.get(name)
         if machine is not None:
             machine.advance(Standing.GONE)
-            for run in machine.runs.values():
-                self.step(run, Phase.GONE)
+            for attempt in machine.runs.values():
+                self.step(attempt, Phase.GONE)
 
     # Records going out
 
     @staticmethod
-    def _is_service(state: State, run: TaskAttempt) -> bool:
+    def _is_service(state: ClusterState, attempt: TaskAttempt) -> bool:
         """Replicas run until their job is cancelled, so one that ends by itself starts again."""
-        job = state.jobs.get(run.where.job)
+        job = state.jobs.get(attempt.where.job)
         return job is not None and job.spec.kind == wire.SERVICE
 
-    def left_over(self, state: State) -> list[AllocationKey]:
+    def left_over(self, state: ClusterState) -> list[AllocationKey]:
         """Allotments of jobs that are over and hold nothing that may still run: they can go."""
         out = []
-        for where in list(self.stale):
-            record = state.zone_allocations[self.zone].get(where)
+        for allocation in list(self.stale):
+            record = state.zone_allocations[self.zone].get(allocation)
             if record is None:
-                self.stale.discard(where)
-            elif self.is_left_over(state, where):
-                out.append(where)
+                self.stale.discard(allocation)
+            elif self.is_left_over(state, allocation):
+                out.append(allocation)
         return out
 
-    def is_left_over(self, state: State, where: AllocationKey) -> bool:
+    def is_left_over(self, state: ClusterState, allocation: AllocationKey) -> bool:
         """The allocation's job is over, and none of its tasks may still run."""
-        record = state.zone_allocations[self.zone].get(where)
-        if record is None or live(state, where.job):
+        record = state.zone_allocations[self.zone].get(allocation)
+        if record is None or live(state, allocation.job):
             return False
-        over = self.over.get(where, {})
-        if len(over) < len(self._by_allocation.get(where, ())):
+        over = self.over.get(allocation, {})
+        if len(over) < len(self._by_allocation.get(allocation, ())):
             return False  # most of the time this says all; the rest goes through the record
         return all(entry.state != records.ASSIGNED or entry.index in over for entry in record.tasks)
 
-    def ends(self, state: State, gather_s: float) -> dict[AllocationKey, dict[int, TaskEntry]]:
+    def ends(self, state: ClusterState, gather_s: float) -> dict[AllocationKey, dict[int, TaskEntry]]:
         """Entries of tasks whose end or absence is proved and is to be recorded now.
 
         Ends of one allocation are gathered for a while, so that many of them cost one change. What someone waits for is
@@ -704,32 +708,35 @@
         """
         out: dict[AllocationKey, dict[int, TaskEntry]] = {}
         recorded = state.zone_allocations[self.zone]
-        for where, runs in self.over.items():
-            if where in recorded and (
-                self._oldest_end(runs) <= self.now - gather_s or self._awaited(state, where, runs)
+        for allocation, attempts in self.over.items():
+            if allocation in recorded and (
+                self._oldest_end(attempts) <= self.now - gather_s or self._awaited(state, allocation, attempts)
             ):
-                out[where] = {
-                    run.index: TaskEntry(run.index, self._outcome(state, run), run.attempt) for run in runs.values()
+                out[allocation] = {
+                    attempt.index: TaskEntry(attempt.index, self._outcome(state, attempt), attempt.attempt)
+                    for attempt in attempts.values()
                 }
         return out
 
     @staticmethod
-    def _oldest_end(runs: dict[int, TaskAttempt]) -> float:
-        return next(iter(runs.values())).over_at  # they are in the order in which they were proved
+    def _oldest_end(attempts: dict[int, TaskAttempt]) -> float:
+        return next(iter(attempts.values())).over_at  # they are in the order in which they were proved
 
-    def _awaited(self, state: State, where: AllocationKey, runs: dict[int, TaskAttempt]) -> bool:
+    def _awaited(self, state: ClusterState, allocation: AllocationKey, attempts: dict[int, TaskAttempt]) -> bool:
         """Someone waits for the record of these ends: the last ones of an allocation, or a task that starts again."""
-        if where not in self.free and len(runs) == len(self._by_allocation.get(where, ())):
+        if allocation not in self.free and len(attempts) == len(self._by_allocation.get(allocation, ())):
             return True
-        if not live(state, where.job):
+        if not live(state, allocation.job):
             return False
-        return where in self._restarting or state.jobs[where.job].spec.kind == wire.SERVICE
+        return allocation in self._restarting or state.jobs[allocation.job].spec.kind == wire.SERVICE
 
-    def _outcome(self, state: State, run: TaskAttempt) -> int:
-        done = run.phase is Phase.EXITED and run.why == wire.REASON_DONE and not self._is_service(state, run)
-        gang = self.gangs.get(run.where.job)
+    def _outcome(self, state: ClusterState, attempt: TaskAttempt) -> int:
+        done = (
+            attempt.phase is Phase.EXITED and attempt.why == wire.REASON_DONE and not self._is_service(state, attempt)
+        )
+        gang = self.gangs.get(attempt.where.job)
         if gang is not None and gang.state is GangState.ENDED:
             return records.ENDED  # members complete together, also those whose own report never came
-        if done or not live(state, run.where.job):
+        if done or not live(state, attempt.where.job):
             return records.ENDED  # done, or nobody will want it again
         return records.RETURNED if self.dark else records.FREE  # there is no room for it here
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -30,7 +30,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Verdict
+from spurarch.storage.store import TransactionStatus
 from spurarch.transport.network import Network
 
 log = logging.getLogger(__name__)
@@ -106,7 +106,7 @@
     async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> tuple[int, bytes]:
         """Answers a report: 200 as owner, 421 to steer the worker, 503 if nobody can tell."""
         heard = self.reachability.parts.get(heartbeat.zone)
-        partition = self.replica.state.parts.get(heartbeat.zone)
+        partition = self.replica.state.partitions.get(heartbeat.zone)
         if (
             self.permissions.superseded(heartbeat.zone)
             and heard is not None
@@ -145,7 +145,7 @@
 
     def _own(self, zone: str, now: float) -> OwnedPartition:
         """The part in memory, begun anew with every epoch."""
-        record = self.replica.state.parts[zone]
+        record = self.replica.state.partitions[zone]
         owned = self.owned.get(zone)
         if owned is None or owned.partition.epoch != record.epoch:
             owned = OwnedPartition(
@@ -242,15 +242,15 @@
 
     def _obey_cancels(self, owned: OwnedPartition) -> None:
         """Cancels that peers passed on while the state service is out of reach."""
-        for ref in self.reachability.cancelled:
-            owned.partition.stop_job(ref, time.monotonic())
+        for job_id in self.reachability.cancelled:
+            owned.partition.stop_job(job_id, time.monotonic())
 
     def _spread_news(self) -> None:
         """Notes changed records for every part."""
         self.view.update()
         if self._changed_keys:
             for zone, owned in self.owned.items():
-                mine = (f"{records.ALLOT}{zone}/", f"{records.MACHINE}{zone}/", records.JOB)
+                mine = (f"{records.ALLOCATION}{zone}/", f"{records.MACHINE}{zone}/", records.JOB)
                 owned.changed_keys.update((key, None) for key in self._changed_keys if key.startswith(mine))
             self._changed_keys.clear()
 
@@ -292,11 +292,11 @@
             owned.placer.scarce = self.replica.store.write_level() < SCARCE_LEVEL
             placed = owned.placer.run(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
             if self.permissions.fresh(now):
-                for run in placed.preempt:
-                    log.info("preempting %s/%d on %s", *run.key, run.machine)
-                    partition.stop(run, self._grace(run))
-            for where, entries in placed.entries.items():
-                changes.setdefault(where, {}).update(entries)
+                for attempt in placed.preempt:
+                    log.info("preempting %s/%d on %s", *attempt.key, attempt.machine)
+                    partition.stop(attempt, self._grace(attempt))
+            for allocation, entries in placed.entries.items():
+                changes.setdefault(allocation, {}).update(entries)
             if placed.unfinished:
                 await owned.wakeup.set()
         await self._commit(owned, changes, writes)
@@ -332,15 +332,15 @@
         if result.empty is not None:
             log.info("emptying %s", result.empty)
             partition.machines[result.empty].emptying = True
-        for run, target in result.moves:
-            log.info("moving %s/%d from %s to %s", *run.key, run.machine, target)
-            owned.placer.targets[run.key] = target, now + MOVE_S
-            partition.stop(run, self._grace(run))
+        for attempt, target in result.moves:
+            log.info("moving %s/%d from %s to %s", *attempt.key, attempt.machine, target)
+            owned.placer.targets[attempt.key] = target, now + MOVE_S
+            partition.stop(attempt, self._grace(attempt))
         if result.search is not None and result.search.moves:
             log.info("search of %s: cost %.4f to %.4f", partition.zone, result.search.before, result.search.after)
 
-    def _grace(self, run: TaskAttempt) -> float:
-        job = self.replica.state.jobs.get(run.where.job)
+    def _grace(self, attempt: TaskAttempt) -> float:
+        job = self.replica.state.jobs.get(attempt.where.job)
         return save_grace_s(job.spec) if job is not None else 0.0
 
     # Records
@@ -382,7 +382,7 @@
         await self._commit_some(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
         if not owned.placer.pending:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
-            if self.replica.store.ready(Urgency.ENDS) or now - owned.cleaned_at > CLEAN_S:
+            if self.replica.store.can_write_now(Urgency.ENDS) or now - owned.cleaned_at > CLEAN_S:
                 owned.cleaned_at = now
                 bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
             owned.placer.pending = {c.where: c.entries or {} for c in bulk if c.where is not None}
@@ -414,15 +414,15 @@
     ) -> dict[Urgency, list[_Change]]:
         out: dict[Urgency, list[_Change]] = {Urgency.REPLICAS: [_Change(write) for write in extra], Urgency.STARTS: []}
         cleaning = dict.fromkeys(partition.left_over(self.replica.state))
-        out[Urgency.ENDS] = [_Change(Write(str(where), None), where) for where in cleaning]
-        for where, entries in changes.items():
-            if where in cleaning or where in pending:
+        out[Urgency.ENDS] = [_Change(Write(str(allocation), None), allocation) for allocation in cleaning]
+        for allocation, entries in changes.items():
+            if allocation in cleaning or allocation in pending:
                 continue
-            job = self.view.jobs.get(where.job)
+            job = self.view.jobs.get(allocation.job)
             starting = any(e.state == records.ASSIGNED for e in entries.values())
             # All starts of a gang are one change as a rule, and its machines wait for the last of them.
             urgency = Urgency.REPLICAS if job is not None and (job.service or job.gang) else Urgency.STARTS
-            out[urgency].append(_Change(None, where, entries, starting))
+            out[urgency].append(_Change(None, allocation, entries, starting))
         return out
 
     def _batches(self, zone: str, items: list[_Change]) -> list[list[_Change]]:
@@ -458,13 +458,15 @@
         new = merged(record, change.entries, is_live_gang(self.replica.state, change.where.job))
         if new is None:
             return []
-        return [Write(str(where), piece) for where, piece in records.split(change.where, new, self._record_tasks)]
+        return [
+            Write(str(allocation), piece) for allocation, piece in records.split(change.where, new, self._record_tasks)
+        ]
 
     async def _commit_batch(self, partition: Partition, batch: list[_Change], urgency: Urgency) -> None:
         if not self.permissions.owns(partition):
             return
         writes: list[Write] = []
-        guards = {records.PART + partition.zone}
+        guards = {records.PARTITION + partition.zone}
         for change in batch:
             made = self._writes_of(partition, change)
             writes += made
@@ -472,13 +474,13 @@
                 guards.add(records.JOB + change.where.job)
         if not writes:
             return
-        outcome = await self.replica.commit(writes, guards, urgency=urgency)
-        if outcome.verdict is Verdict.INVALID and len(batch) > 1:
+        result = await self.replica.commit(writes, guards, urgency=urgency)
+        if result.status is TransactionStatus.INVALID and len(batch) > 1:
             # One change that the service will not take must not keep the others from ever being made.
             for change in batch:
                 await self._commit_batch(partition, [change], urgency)
-        elif outcome.verdict not in (Verdict.DONE, Verdict.REFUSED):
-            log.info("owner transaction for %s: %s %s", partition.zone, outcome.verdict.value, outcome.failed)
+        elif result.status not in (TransactionStatus.COMMITTED, TransactionStatus.NOT_EXECUTED):
+            log.info("owner transaction for %s: %s %s", partition.zone, result.status.value, result.failed_keys)
 
     async def _send(self, owned: OwnedPartition) -> None:
         """Starts and stops go straight to the worker, by what the records say now."""
--- a/spurarch/coordination/permissions.py
+++ b/spurarch/coordination/permissions.py
@@ -58,7 +58,7 @@
 
     def superseded(self, zone: str) -> bool:
         """Another holds the zone by now, as a peer says whose copy is newer than ours."""
-        heard, partition = self.reachability.parts.get(zone), self.replica.state.parts.get(zone)
+        heard, partition = self.reachability.parts.get(zone), self.replica.state.partitions.get(zone)
         return (
             heard is not None and heard[0] != self.membership.node and (partition is None or heard[1] > partition.epoch)
         )
--- a/spurarch/coordination/placing.py
+++ b/spurarch/coordination/placing.py
@@ -86,7 +86,7 @@
     ) -> Placement:
         """One round; what the time or `most` changed allocations cut off comes first in the next."""
         self.targets = {k: t for k, t in self.targets.items() if t[1] > now}
-        waiting_jobs = {where.job for where in partition.free}
+        waiting_jobs = {allocation.job for allocation in partition.free}
         self.reservations = {j: r for j, r in self.reservations.items() if r.until > now and j in waiting_jobs}
         turn = _Round(self, partition, view, now, wall)
         try:
@@ -101,9 +101,9 @@
             self._claims = {k: t for k, t in self._claims.items() if k in turn.waiting}
         return turn.result
 
-    def since_allocation(self, where: AllocationKey, now: float) -> float:
+    def since_allocation(self, allocation: AllocationKey, now: float) -> float:
         """When tasks of the allocation were first found waiting."""
-        return self._allocations.setdefault(where, now)
+        return self._allocations.setdefault(allocation, now)
 
     def since(self, key: tuple[str, int], now: float) -> float:
         """When the task was first found without room."""
@@ -175,26 +175,26 @@
         ]
         ranks = {w: self._rank(w) for w in free if w not in self.placer.pending and self._wanted(w.job)}
         order = sorted(ranks, key=ranks.__getitem__)
-        for _, equals in groupby(order, key=lambda where: ranks[where][0][:2]):
+        for _, equals in groupby(order, key=lambda allocation: ranks[allocation][0][:2]):
             for place, wheres in self._turns(list(equals)):
-                for where in wheres:
+                for allocation in wheres:
                     if len(self.result.entries) >= most or out_of_time():
                         self.result.unfinished = True
                         return
-                    place(where, view.jobs[where.job])
+                    place(allocation, view.jobs[allocation.job])
 
     def _book_pending(self) -> None:
         """Starts whose transaction waits in line have their room already."""
-        for where, entries in self.placer.pending.items():
-            job = self.view.jobs.get(where.job)
+        for allocation, entries in self.placer.pending.items():
+            job = self.view.jobs.get(allocation.job)
             for entry in entries.values():
                 room = self._rooms_by_name.get(entry.machine)
                 if entry.state == records.ASSIGNED and job is not None and room is not None:
                     self.draft.take(room, job.need)
 
-    def _wanted(self, ref: str) -> bool:
-        backoff = self.partition.backoffs.get(ref)
-        return live(self.view.state, ref) and (backoff is None or backoff.not_before <= self.now)
+    def _wanted(self, job_id: str) -> bool:
+        backoff = self.partition.backoffs.get(job_id)
+        return live(self.view.state, job_id) and (backoff is None or backoff.not_before <= self.now)
 
     def _turns(
         self, wheres: list[AllocationKey]
@@ -207,53 +207,53 @@
         """
         patient: list[AllocationKey] = []
         others: list[AllocationKey] = []
-        for where in wheres:
-            (patient if self._patient(where) else others).append(where)
+        for allocation in wheres:
+            (patient if self._patient(allocation) else others).append(allocation)
         return [(self._place, others), (self._place_warm, patient), (self._place, patient)]
 
-    def _patient(self, where: AllocationKey) -> bool:
-        job = self.view.jobs[where.job]
+    def _patient(self, allocation: AllocationKey) -> bool:
+        job = self.view.jobs[allocation.job]
         if not job.array:
             return False
-        since = self.placer.since_allocation(where, self.now)
+        since = self.placer.since_allocation(allocation, self.now)
         return self.now - since < self.view.fetch_s(job)
 
-    def _place(self, where: AllocationKey, job: JobView) -> None:
-        for key in [k for k in self._reserved if k[0] == where.job]:
+    def _place(self, allocation: AllocationKey, job: JobView) -> None:
+        for key in [k for k in self._reserved if k[0] == allocation.job]:
             self.draft.take(self._reserved.pop(key), job.need, -1)
         if job.service:
-            self._place_replicas(where, job)
+            self._place_replicas(allocation, job)
         elif job.gang:
             self._place_gang(job)
         else:
-            self._place_group(where, job)
+            self._place_group(allocation, job)
 
-    def _place_warm(self, where: AllocationKey, job: JobView) -> None:
+    def _place_warm(self, allocation: AllocationKey, job: JobView) -> None:
         """As many tasks of an array as find room on machines that have its image."""
         warm = [room for room in self._roomy if job.need.image in room.images]
-        entries = iter(self._left(where))
-        for room, number in fill(job.need, warm, len(self._left(where)), self.draft):
+        entries = iter(self._left(allocation))
+        for room, number in fill(job.need, warm, len(self._left(allocation)), self.draft):
             for entry in islice(entries, number):
-                self._assign(where, entry, room)
+                self._assign(allocation, entry, room)
 
-    def _left(self, where: AllocationKey) -> list[TaskEntry]:
+    def _left(self, allocation: AllocationKey) -> list[TaskEntry]:
         """Tasks that wait and have not been placed in this round."""
-        placed = self.result.entries.get(where, {})
-        return [entry for entry in self.partition.free[where] if entry.index not in placed]
+        placed = self.result.entries.get(allocation, {})
+        return [entry for entry in self.partition.free[allocation] if entry.index not in placed]
 
-    def _rank(self, where: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
-        job = self.view.jobs[where.job]
-        return self.view.rank(job, self._starving(job)), where.job, where.chunk
+    def _rank(self, allocation: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
+        job = self.view.jobs[allocation.job]
+        return self.view.rank(job, self._starving(job)), allocation.job, allocation.chunk
 
     def _starving(self, job: JobView) -> bool:
         return job.starving(self.wall, self.placer.longest_wait_s)
 
     def _count_ended(self) -> None:
         """Tasks that have ended make room at once, also those whose end is not recorded yet."""
-        for where, runs in self.partition.over.items():
-            job = self.view.jobs.get(where.job)
-            for run in runs.values():
-                room = self._rooms_by_name.get(run.machine)
+        for allocation, attempts in self.partition.over.items():
+            job = self.view.jobs.get(allocation.job)
+            for attempt in attempts.values():
+                room = self._rooms_by_name.get(attempt.machine)
                 if job is not None and room is not None:
                     self.draft.take(room, job.need, -1)
 
@@ -276,25 +276,27 @@
                 out[key] = room
         return out
 
-    def _assign(self, where: AllocationKey, entry: TaskEntry, room: Room, attempt: int | None = None) -> None:
+    def _assign(self, allocation: AllocationKey, entry: TaskEntry, room: Room, attempt: int | None = None) -> None:
         machine = self.partition.machines[self.view.machines.name(room.machine)]
         number = entry.attempt + 1 if attempt is None else attempt
         new = TaskEntry(entry.index, records.ASSIGNED, number, machine.name, machine.session)
-        self.result.entries.setdefault(where, {})[entry.index] = new
+        self.result.entries.setdefault(allocation, {})[entry.index] = new
 
-    def _give_back(self, where: AllocationKey, entry: TaskEntry) -> None:
-        self.result.entries.setdefault(where, {})[entry.index] = TaskEntry(entry.index, records.RETURNED, entry.attempt)
+    def _give_back(self, allocation: AllocationKey, entry: TaskEntry) -> None:
+        self.result.entries.setdefault(allocation, {})[entry.index] = TaskEntry(
+            entry.index, records.RETURNED, entry.attempt
+        )
 
     # Equal tasks as a group
 
-    def _place_group(self, where: AllocationKey, job: JobView) -> None:
-        waiting = self._left(where)
+    def _place_group(self, allocation: AllocationKey, job: JobView) -> None:
+        waiting = self._left(allocation)
         entries, count = iter(waiting), len(waiting)
         hopeless = self._hopeless(job.need)
         if not hopeless:
             for room, number in fill(job.need, self._roomy, count, self.draft):
                 for entry in islice(entries, number):
-                    self._assign(where, entry, room)
+                    self._assign(allocation, entry, room)
             self._roomy = [room for room in self._roomy if room.free_cpus > EPSILON]
         left = list(entries)
         if not left:
@@ -303,23 +305,23 @@
             self._full.append(job.need)
         if self._starving(job):
             self._gather(job)
-        self._keep_waiting(where, job, left)
+        self._keep_waiting(allocation, job, left)
 
-    def _keep_waiting(self, where: AllocationKey, job: JobView, left: list[TaskEntry]) -> None:
+    def _keep_waiting(self, allocation: AllocationKey, job: JobView, left: list[TaskEntry]) -> None:
         """Tasks without room: some get room that others leave, some go back, and the rest waits.
 
         Hundreds of tasks may wait for many rounds, so what is the same for all of them is asked once.
         """
-        ref, now, patience = job.ref, self.now, self._patience()
-        guaranteed = ref in self.view.guaranteed()
+        job_id, now, patience = job.job_id, self.now, self._patience()
+        guaranteed = job_id in self.view.guaranteed()
         lower, elsewhere = self._lower(job.need.priority), True
         may_be_stuck = self._stuck(float("-inf"))
         for entry in left:
-            key = ref, entry.index
+            key = job_id, entry.index
             self.waiting.add(key)
             since = self.placer.since(key, now)
             waited_s = now - since
-            if self.placer.has_claim(key) and self._await_claim(where, job, entry):
+            if self.placer.has_claim(key) and self._await_claim(allocation, job, entry):
                 continue
             if lower and self._make_room_anywhere(key, job.need):
                 continue
@@ -329,11 +331,11 @@
             if waited_s <= patience:
                 continue
             if may_be_stuck and self._stuck(since):
-                self._give_back(where, entry)
+                self._give_back(allocation, entry)
                 continue
             elsewhere = elsewhere and self._better_elsewhere(job)  # places there only get fewer
             if elsewhere:
-                self._give_back(where, entry)
+                self._give_back(allocation, entry)
 
     def _lower(self, priority: int) -> bool:
         """Something of lower priority runs here.
@@ -346,16 +348,16 @@
             self._lowers[priority] = any(cpus > EPSILON for cpus, *_ in used)
         return self._lowers[priority]
 
-    def _await_claim(self, where: AllocationKey, job: JobView, entry: TaskEntry) -> bool:
+    def _await_claim(self, allocation: AllocationKey, job: JobView, entry: TaskEntry) -> bool:
         """Room is being freed for the task: it goes there, or keeps the room from others until it is free."""
-        machine = self.placer.claimed((where.job, entry.index), self.now)
+        machine = self.placer.claimed((allocation.job, entry.index), self.now)
         room = next((r for r in self.rooms if r.machine == machine), None) if machine is not None else None
         if room is None:
             return False
         if room.fits(job.need):
-            self._assign(where, entry, room)
+            self._assign(allocation, entry, room)
         else:
-            self.waiting.add((where.job, entry.index))
+            self.waiting.add((allocation.job, entry.index))
         # Without this, tasks of lower rank in the queue would take the room the moment it is free.
         self.draft.take(room, job.need)
         return True
@@ -407,8 +409,8 @@
         """By zone, CPUs of admitted tasks of no lower priority that wait for room there."""
         if self._queued is None:
             self._queued = defaultdict(float)
-            for where, job, count, _ in self.view.waiting():
-                self._queued[self.view.zones.index(where.zone), job.need.priority] += count * job.need.cpus
+            for allocation, job, count, _ in self.view.waiting():
+                self._queued[self.view.zones.index(allocation.zone), job.need.priority] += count * job.need.cpus
         out: dict[int, float] = defaultdict(float)
         for (zone, level), cpus in self._queued.items():
             if level <= priority:
@@ -432,11 +434,11 @@
 
     def _place_gang(self, job: JobView) -> None:
         """Gives machines to all waiting members of a gang, under one number, or to none of them."""
-        gang = self.partition.gangs.get(job.ref)
-        if gang is None or job.ref in self._gangs_seen:
+        gang = self.partition.gangs.get(job.job_id)
+        if gang is None or job.job_id in self._gangs_seen:
             return
-        self._gangs_seen.add(job.ref)
-        key = job.ref, GANG_MEMBER
+        self._gangs_seen.add(job.job_id)
+        key = job.job_id, GANG_MEMBER
         self.waiting.add(key)
         since = self.placer.since(key, self.now)
         number, members = gang.next_attempt(), gang.waiting()
@@ -446,23 +448,27 @@
         if gang.whole and all_fit(job.need, rooms, len(members)):
             left = iter(members)
             for room, count in fill(job.need, rooms, len(members), self.draft):
-                for where, entry in islice(left, count):
-                    self._assign(where, entry, room, number)
+                for allocation, entry in islice(left, count):
+                    self._assign(allocation, entry, room, number)
             self._roomy = [room for room in self._roomy if room.free_cpus > EPSILON]
             return
         if gang.state is GangState.ASSIGNING:
             if self.now - since > GANG_ASSIGN_S:
                 self.result.preempt += gang.members.values()
             return
-        if gang.whole and job.ref not in self.placer.reservations and self._reserve_for_gang(job, len(members), since):
+        if (
+            gang.whole
+            and job.job_id not in self.placer.reservations
+            and self._reserve_for_gang(job, len(members), since)
+        ):
             return
         if self.now - since > self._patience() and (self._stuck(since) or self._gang_fits_elsewhere(job, gang)):
-            for where, entry in members:
-                self._give_back(where, entry)
+            for allocation, entry in members:
+                self._give_back(allocation, entry)
 
     def _rooms_for_gang(self, job: JobView) -> list[Room]:
         """Room that is nobody else's."""
-        mine = self.placer.reservations.get(job.ref)
+        mine = self.placer.reservations.get(job.job_id)
         if mine is None:
             return self._roomy
         return self._roomy + [room for room in self._reserved_rooms if room.machine in mine.machines]
@@ -479,7 +485,7 @@
         if not rooms:
             return False
         reservation = Reservation(self.now + wait_s, frozenset(room.machine for room in rooms))
-        self.placer.reservations[job.ref] = reservation
+        self.placer.reservations[job.job_id] = reservation
         self._keep_from_arrays(reservation.machines)
         return True
 
@@ -500,11 +506,11 @@
         try:
             for room in sorted(self._roomy_or_busy(), key=lambda room: (-room.free_cpus, room.machine)):
                 picked: list[TaskAttempt] = []
-                for run in self._lower_runs(job.need, room):
+                for attempt in self._lower_runs(job.need, room):
                     if room.slots(job.need, count) >= count:
                         break
-                    trial.take(room, self.view.jobs[run.where.job].need, -1)
-                    picked.append(run)
+                    trial.take(room, self.view.jobs[attempt.where.job].need, -1)
+                    picked.append(attempt)
                 slots = room.slots(job.need, count) if room.allows(job.need) else 0
                 if slots:
                     rooms.append(room)
@@ -517,7 +523,7 @@
         if count > 0:
             return []
         self.result.preempt += victims
-        self._chosen.update(run.key for run in victims)
+        self._chosen.update(attempt.key for attempt in victims)
         return rooms
 
     def _gang_fits_elsewhere(self, job: JobView, gang: GangAttempt) -> bool:
@@ -532,11 +538,11 @@
 
     # Replicas: one by one
 
-    def _place_replicas(self, where: AllocationKey, job: JobView) -> None:
+    def _place_replicas(self, allocation: AllocationKey, job: JobView) -> None:
         need, full = job.need, self._hopeless(job.need)
-        for entry in self.partition.free[where]:
-            key = where.job, entry.index
-            if self._await_claim(where, job, entry):
+        for entry in self.partition.free[allocation]:
+            key = allocation.job, entry.index
+            if self._await_claim(allocation, job, entry):
                 continue
             room = None if full else self._target(key, need) or best_fit(need, self._roomy)
             if room is None and self._reserved_rooms:
@@ -551,7 +557,7 @@
                     continue
             if room is not None:
                 self.draft.take(room, need)
-                self._assign(where, entry, room)
+                self._assign(allocation, entry, room)
                 continue
             full = True  # all tasks of a job need the same
             self.waiting.add(key)
@@ -559,7 +565,7 @@
             if self._make_room_anywhere(key, need):
                 continue
             if self.now - since > self._patience() and (self._stuck(since) or self._better_elsewhere(job)):
-                self._give_back(where, entry)
+                self._give_back(allocation, entry)
 
     def _has_image(self, room: Room, need: Need) -> bool:
         return need.image in self.partition.machines[self.view.machines.name(room.machine)].images
@@ -606,41 +612,47 @@
         """
         machine = self.partition.machines[self.view.machines.name(room.machine)]
         lower = [
-            run
-            for run in machine.runs.values()
-            if self._stoppable(run) and self._priority(run) > need.priority and (gangs or not self._in_gang(run))
+            attempt
+            for attempt in machine.runs.values()
+            if self._stoppable(attempt)
+            and self._priority(attempt) > need.priority
+            and (gangs or not self._in_gang(attempt))
         ]
-        lower.sort(key=lambda run: (self._in_gang(run), -self._priority(run), -(run.running_at or self.now)))
+        lower.sort(
+            key=lambda attempt: (self._in_gang(attempt), -self._priority(attempt), -(attempt.running_at or self.now))
+        )
         return lower
 
-    def _in_gang(self, run: TaskAttempt) -> bool:
-        return self.partition.gangs.get(run.where.job) is not None
+    def _in_gang(self, attempt: TaskAttempt) -> bool:
+        return self.partition.gangs.get(attempt.where.job) is not None
 
-    def _loss(self, runs: list[TaskAttempt]) -> int:
+    def _loss(self, attempts: list[TaskAttempt]) -> int:
         """How many tasks would stop with these."""
         gangs = {
-            run.where.job: gang.size for run in runs if (gang := self.partition.gangs.get(run.where.job)) is not None
+            attempt.where.job: gang.size
+            for attempt in attempts
+            if (gang := self.partition.gangs.get(attempt.where.job)) is not None
         }
-        return sum(gangs.values()) + sum(run.where.job not in gangs for run in runs)
+        return sum(gangs.values()) + sum(attempt.where.job not in gangs for attempt in attempts)
 
-    def _stop(self, key: tuple[str, int], need: Need, runs: list[TaskAttempt], room: Room, wait_s: float) -> None:
+    def _stop(self, key: tuple[str, int], need: Need, attempts: list[TaskAttempt], room: Room, wait_s: float) -> None:
         self.waiting.add(key)
         self.placer.claim(key, self.now + wait_s, room.machine)
-        self.result.preempt += runs
-        for run in runs:
-            self._chosen.add(run.key)
-            self.draft.take(room, self.view.jobs[run.where.job].need, -1)
+        self.result.preempt += attempts
+        for attempt in attempts:
+            self._chosen.add(attempt.key)
+            self.draft.take(room, self.view.jobs[attempt.where.job].need, -1)
         self.draft.take(room, need)  # nobody else may count on this room
 
     def _enough(self, need: Need, room: Room, candidates: list[TaskAttempt]) -> list[TaskAttempt]:
         """The first of the candidates that make room for the task when they leave; none if that is not enough."""
         trial, chosen = Draft(), []
         try:
-            for run in candidates:
+            for attempt in candidates:
                 if room.fits(need):
                     break
-                trial.take(room, self.view.jobs[run.where.job].need, -1)
-                chosen.append(run)
+                trial.take(room, self.view.jobs[attempt.where.job].need, -1)
+                chosen.append(attempt)
             return chosen if room.fits(need) else []
         finally:
             trial.undo()
@@ -651,32 +663,32 @@
         That is the protocol's second rule of preemption. The youngest goes first; no team is taken below its guarantee.
         """
         if self._victims_by_guarantee is None:
-            runs = [
-                run
-                for run in self.partition.runs.values()
-                if self._stoppable(run)
-                and run.where.job in self.view.jobs
-                and not self._in_gang(run)
-                and run.where.job not in self.view.guaranteed()
+            attempts = [
+                attempt
+                for attempt in self.partition.runs.values()
+                if self._stoppable(attempt)
+                and attempt.where.job in self.view.jobs
+                and not self._in_gang(attempt)
+                and attempt.where.job not in self.view.guaranteed()
             ]
-            self._victims_by_guarantee = sorted(runs, key=lambda run: run.running_at or self.now)
-        for run in reversed(self._victims_by_guarantee):
-            victim = self.view.jobs[run.where.job]
-            room = self._rooms_by_name.get(run.machine)
+            self._victims_by_guarantee = sorted(attempts, key=lambda attempt: attempt.running_at or self.now)
+        for attempt in reversed(self._victims_by_guarantee):
+            victim = self.view.jobs[attempt.where.job]
+            room = self._rooms_by_name.get(attempt.machine)
             if victim.team == job.team or victim.service or room is None:
                 continue
             if self.view.beyond(victim.team) - self._stopped.get(victim.team, 0.0) < victim.need.cpus:
                 continue
-            if not self._stoppable(run) or not self._enough(job.need, room, [run]):
+            if not self._stoppable(attempt) or not self._enough(job.need, room, [attempt]):
                 continue
             self._stopped[victim.team] = self._stopped.get(victim.team, 0.0) + victim.need.cpus
-            self._stop(key, job.need, [run], room, PREEMPT_WAIT_S)
+            self._stop(key, job.need, [attempt], room, PREEMPT_WAIT_S)
             return True
         return False
 
-    def _stoppable(self, run: TaskAttempt) -> bool:
-        return not run.stop and run.phase < Phase.STOPPING and run.key not in self._chosen
+    def _stoppable(self, attempt: TaskAttempt) -> bool:
+        return not attempt.stop and attempt.phase < Phase.STOPPING and attempt.key not in self._chosen
 
-    def _priority(self, run: TaskAttempt) -> int:
-        job = self.view.jobs.get(run.where.job)
+    def _priority(self, attempt: TaskAttempt) -> int:
+        job = self.view.jobs.get(attempt.where.job)
         return job.need.priority if job else 0
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/release_candidates.py
@@ -10,7 +10,7 @@
 from spurarch.coordination.view import FleetView
 from spurarch.settings import Tuning, Workers
 from spurarch.storage import records
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 
 CUT_SILENCE_S = 2.5
 CUT_OFF_HEARTBEATS = 2.2
@@ -126,7 +126,7 @@
 
 
 def orphaned_machines(
-    state: State, zones: set[str], cancelled_ago: Callable[[str], float | None], workers: Workers
+    state: ClusterState, zones: set[str], cancelled_ago: Callable[[str], float | None], workers: Workers
 ) -> dict[str, str]:
     """Machines, and their zones, that may hold a cancelled task while nobody who lives holds their part.
 
@@ -134,12 +134,12 @@
     machines unheard.
     """
     out: dict[str, str] = {}
-    for ref in list(state.allocations):
-        ago = cancelled_ago(ref)
+    for job_id in list(state.allocations):
+        ago = cancelled_ago(job_id)
         if ago is not None and ago > OVERDUE_UNHEARD * workers.cancel_s:
-            for where, record in state.allocations[ref].items():
-                if where.zone in zones:
-                    out.update((e.machine, where.zone) for e in record.tasks if e.state == records.ASSIGNED)
+            for allocation, record in state.allocations[job_id].items():
+                if allocation.zone in zones:
+                    out.update((e.machine, allocation.zone) for e in record.tasks if e.state == records.ASSIGNED)
     return out
 
 
--- a/spurarch/coordination/releasing.py
+++ b/spurarch/coordination/releasing.py
@@ -27,7 +27,7 @@
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
 from spurarch.storage.records import MachineRecord
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Verdict
+from spurarch.storage.store import TransactionStatus
 
 log = logging.getLogger(__name__)
 
@@ -97,10 +97,10 @@
         self._next_orphans = now + RETURNS_S
         zones = {
             zone
-            for zone, partition in self.replica.state.parts.items()
+            for zone, partition in self.replica.state.partitions.items()
             if self.membership.holds(zone) is None
             and not self._permissions.superseded(zone)
-            and not self.reachability.answers(partition.node, now, partition.boot)
+            and not self.reachability.answers(partition.node, now, partition.process_incarnation)
         }
         found = orphaned_machines(self.replica.state, zones, self._permissions.cancelled_ago, self.deployment.workers)
         left = {name: zone for name, zone in found.items() if name not in self._returned}
@@ -272,7 +272,9 @@
                 writes.append(Write(records.machine_key(partition.zone, machine.name), record))
         most = self.deployment.state.transaction_changes
         for at in range(0, len(writes), most):
-            outcome = await self.replica.commit(writes[at : at + most], [records.PART + partition.zone], give_up_s=3.0)
-            if outcome.verdict is not Verdict.DONE:
+            result = await self.replica.commit(
+                writes[at : at + most], [records.PARTITION + partition.zone], give_up_s=3.0
+            )
+            if result.status is not TransactionStatus.COMMITTED:
                 return False
         return True
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/renting.py
@@ -94,7 +94,7 @@
                 if now - types_at > TYPES_EVERY_S or not self._view.offers:
                     self._view.set_offers(await self._cloud.types())
                     types_at = now
-                    await self._replica.ring()
+                    await self._replica.notify()
                 if self._still():
                     if now - list_at > LIST_EVERY_S or not self._listed:
                         await self._list()
@@ -161,18 +161,18 @@
         self._hires += 1
         kind = order.kind
         # The process's own nonce keeps a name from ever being used again, by whichever controller.
-        rental = wire.ScaleOutRequest(f"{self._boot}-{self._hires}", kind.type, kind.zone, kind.spot, order.count)
+        request = wire.ScaleOutRequest(f"{self._boot}-{self._hires}", kind.type, kind.zone, kind.spot, order.count)
         for _ in range(3):
             try:
-                names = await self._cloud.rent(rental, self._still)
+                names = await self._cloud.scale_out(request, self._still)
                 break
             except NoCapacityError:
                 log.info("no capacity: %s", kind)
                 self._closed[kind] = time.monotonic() + self._tuning.capacity_backoff_s
                 return
             except CloudError as err:
-                log.info("rental %s: %s", rental.request_id, err)
-                if not err.unsure:
+                log.info("rental %s: %s", request.request_id, err)
+                if not err.outcome_unknown:
                     return
         else:
             return  # it may still be carried out: the machines then show in the list and in reports
--- a/spurarch/coordination/store_reachability.py
+++ b/spurarch/coordination/store_reachability.py
@@ -57,13 +57,13 @@
 
     def note_cancelled(self, jobs: list[str], now: float) -> None:
         """Jobs that are cancelled on record, as a peer says."""
-        for ref in jobs:
-            self.cancelled.setdefault(ref, now)
+        for job_id in jobs:
+            self.cancelled.setdefault(job_id, now)
 
     def settle(self, synced_at: float) -> None:
         """What we were told of before a read of our own is in our copy."""
         if self.cancelled:
-            self.cancelled = {ref: at for ref, at in self.cancelled.items() if at >= synced_at}
+            self.cancelled = {job_id: at for job_id, at in self.cancelled.items() if at >= synced_at}
 
     def answers(self, peer: str, now: float, boot: str | None = None) -> bool:
         """The peer lives and hears us, and it is that process of it that does."""
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/users.py
@@ -18,7 +18,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import JobRecord
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import StoreUnavailableError, Verdict
+from spurarch.storage.store import StoreUnavailableError, TransactionStatus
 from spurarch.transport.http import Response
 
 log = logging.getLogger(__name__)
@@ -41,8 +41,8 @@
     return Response(status, wire.encode(wire.ErrorBody(message)), headers)
 
 
-def _state(status: int, ref: str, state: str, done: int | None = None, running: int | None = None) -> Response:
-    return Response(status, wire.encode(wire.JobState(ref, state, done, running)))
+def _state(status: int, job_id: str, state: str, done: int | None = None, running: int | None = None) -> Response:
+    return Response(status, wire.encode(wire.JobState(job_id, state, done, running)))
 
 
 class Users:
@@ -109,17 +109,17 @@
                 return error(503, "gangs are taken once all controllers have been upgraded", UPGRADE_RETRY_S)
             # A controller of an earlier version may join between this check and the transaction.
             guards = [records.MEMBER + node for node in self._nodes]
-        outcome = await self.replica.commit(
+        result = await self.replica.commit(
             [Write(records.JOB + spec.id, JobRecord(spec, time.time()))],
             guards,
             absent=[records.FINAL + spec.id],
             give_up_s=GIVE_UP_S,
             urgency=Urgency.USERS,
         )
-        if outcome.verdict is Verdict.DONE:
+        if result.status is TransactionStatus.COMMITTED:
             await self._wake()
-            return await self._once_archived(outcome.revision, _state(201, spec.id, wire.QUEUED))
-        if outcome.verdict is Verdict.CONFLICT:
+            return await self._once_archived(result.revision, _state(201, spec.id, wire.QUEUED))
+        if result.status is TransactionStatus.CONFLICT:
             return await self._known(spec.id) or error(503, "not settled yet")
         return error(503, "the state service can't be reached")
 
@@ -148,36 +148,36 @@
                 return None
         return error(422, "a task fits no allowed machine type")
 
-    async def poll(self, ref: str) -> Response:
+    async def poll(self, job_id: str) -> Response:
         """GET of a job."""
-        if not wire.JOB_ID_PATTERN.fullmatch(ref):
+        if not wire.JOB_ID_PATTERN.fullmatch(job_id):
             return error(404, "no such job")
         try:
-            return await self._known(ref) or self._unknown()
+            return await self._known(job_id) or self._unknown()
         except StoreUnavailableError:
             return error(503, "the state service can't be reached")
 
-    async def cancel(self, ref: str) -> Response:
+    async def cancel(self, job_id: str) -> Response:
         """POST of a cancellation."""
-        if not wire.JOB_ID_PATTERN.fullmatch(ref):
+        if not wire.JOB_ID_PATTERN.fullmatch(job_id):
             return error(404, "no such job")
         try:
             for _ in range(4):
-                known = await self._known(ref)
+                known = await self._known(job_id)
                 if known is None:
                     return self._unknown()
-                record = self.replica.state.jobs.get(ref)
+                record = self.replica.state.jobs.get(job_id)
                 if record is None or record.cancelled:
                     return known
-                outcome = await self.replica.commit(
-                    [Write(records.JOB + ref, JobRecord(record.spec, record.at, True, time.time()))],
+                result = await self.replica.commit(
+                    [Write(records.JOB + job_id, JobRecord(record.spec, record.submitted_at, True, time.time()))],
                     give_up_s=GIVE_UP_S,
                     urgency=Urgency.USERS,
                 )
-                if outcome.verdict is Verdict.DONE:
-                    await self._tell_cancelled(ref)
-                    return await self._once_archived(outcome.revision, _state(200, ref, wire.CANCELLED))
-                if outcome.verdict is not Verdict.CONFLICT:
+                if result.status is TransactionStatus.COMMITTED:
+                    await self._tell_cancelled(job_id)
+                    return await self._once_archived(result.revision, _state(200, job_id, wire.CANCELLED))
+                if result.status is not TransactionStatus.CONFLICT:
                     break
             return error(503, "not settled yet")
         except StoreUnavailableError:
@@ -190,24 +190,24 @@
             return error(503, "not known since the records were rebuilt", DOUBT_RETRY_S)
         return error(404, "no such job")
 
-    async def _known(self, ref: str) -> Response | None:
+    async def _known(self, job_id: str) -> Response | None:
         """The job's state, no older than anything that was told elsewhere before; None if it was never accepted."""
         state = self.replica.state
-        final = state.finals.get(ref)
+        final = state.finals.get(job_id)
         if final is None:
             if not self.replica.loaded or not await self.replica.sync(SYNC_S):
                 raise StoreUnavailableError("no fresh copy")
-            record = state.jobs.get(ref)
+            record = state.jobs.get(job_id)
             if record is not None:
-                return await self._once_archived(state.version(records.JOB + ref), self._live(ref, record))
-            final = await self.replica.read_final(ref)
+                return await self._once_archived(state.version(records.JOB + job_id), self._live(job_id, record))
+            final = await self.replica.read_final(job_id)
         if final is None:
             return None
-        if final.state == records.IN_DOUBT:
+        if final.state == records.UNRESOLVED:
             return error(503, "in doubt since the records were rebuilt", DOUBT_RETRY_S)
         done = final.tasks if final.state == wire.DONE else None
-        response = _state(200, ref, final.state, done, 0 if done is not None else None)
-        return await self._once_archived(None, response, ref)
+        response = _state(200, job_id, final.state, done, 0 if done is not None else None)
+        return await self._once_archived(None, response, job_id)
 
     async def _once_archived(self, revision: int | None, response: Response, over: str | None = None) -> Response:
         """The answer, once the archive holds what it says (None: all that is on record now); 503 if that takes too long.
@@ -230,13 +230,15 @@
                 del self._archived[next(iter(self._archived))]
         return response
 
-    def _live(self, ref: str, record: JobRecord) -> Response:
+    def _live(self, job_id: str, record: JobRecord) -> Response:
         if record.cancelled:
-            return _state(200, ref, wire.CANCELLED)
+            return _state(200, job_id, wire.CANCELLED)
         self.view.update()
-        job = self.view.jobs.get(ref)  # counted by increments: jobs are many, and each is asked for every few seconds
+        job = self.view.jobs.get(
+            job_id
+        )  # counted by increments: jobs are many, and each is asked for every few seconds
         done, running = (job.ended, job.assigned) if job is not None else (0, 0)
-        return _state(200, ref, wire.RUNNING if running else wire.QUEUED, done, running)
+        return _state(200, job_id, wire.RUNNING if running else wire.QUEUED, done, running)
 
 
 def _finite(spec: wire.Submission) -> bool:
--- a/spurarch/coordination/view.py
+++ b/spurarch/coordination/view.py
@@ -17,7 +17,7 @@
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 
 IMAGES_KEPT = 32
 START_OBJECTIVE = "wait"  # an aim on how soon the tasks of a class start
@@ -29,7 +29,7 @@
 class JobView:
     """What the decisions need of one job."""
 
-    ref: str
+    job_id: str
     need: Need
     charge_each: Charge  # of its team, for each task
     team: int
@@ -97,7 +97,7 @@
     """Tables of machines, jobs and teams."""
 
     def __init__(
-        self, state: State, teams: Iterable[Team], size_weight: float = 0.0, objectives: Iterable[Objective] = ()
+        self, state: ClusterState, teams: Iterable[Team], size_weight: float = 0.0, objectives: Iterable[Objective] = ()
     ) -> None:
         self.state, self.size_weight = state, size_weight
         self.zones, self.types, self.teams = Names(), Names(), Names()
@@ -118,7 +118,7 @@
         self._guaranteed: set[str] | None = None
         self._usual: float | None = None  # allowance in seconds per CPU second of work, over the jobs that wait
         self._changed_keys = state.subscribe()
-        self._whole = state.whole
+        self._whole = state.consistent
         self._start_within = {o.job_class: o.within_s for o in objectives if o.kind == START_OBJECTIVE}
         for team in teams:
             self.limits[self.teams.index(team.name)] = team
@@ -135,7 +135,7 @@
         if not self._changed_keys:
             return
         whole = self._whole
-        self._whole = self.state.whole
+        self._whole = self.state.consistent
         keys = list(self._changed_keys)
         self._changed_keys.clear()
         self._usual = None
@@ -143,21 +143,21 @@
         allocations: dict[AllocationKey, None] = {}
         for key in keys:
             if key.startswith(records.JOB):
-                ref = key[len(records.JOB) :]
-                touched[ref] = None
-                self._take_job(ref)
-                allocations |= dict.fromkeys(self._jobless.pop(ref, ()))
+                job_id = key[len(records.JOB) :]
+                touched[job_id] = None
+                self._take_job(job_id)
+                allocations |= dict.fromkeys(self._jobless.pop(job_id, ()))
             elif key.startswith(records.MACHINE):
                 self._take_machine(*records.parse_machine_key(key))
-            elif key.startswith(records.ALLOT):
-                where = AllocationKey.parse(key)
-                allocations[where] = touched[where.job] = None
+            elif key.startswith(records.ALLOCATION):
+                allocation = AllocationKey.parse(key)
+                allocations[allocation] = touched[allocation.job] = None
             elif key.startswith(records.ADMISSION):
                 touched[key[len(records.ADMISSION) :]] = None
-        for where in allocations:
-            self._take_allocation(where)
-        for ref in touched:
-            self._settle(ref)
+        for allocation in allocations:
+            self._take_allocation(allocation)
+        for job_id in touched:
+            self._settle(job_id)
         self.ledger.check_limits(whole and self._whole)
         self._note_unreadable()
 
@@ -167,43 +167,43 @@
             return
         uncertain: set[int] = set()
         for key, team in self.state.unreadable.items():
-            ref = records.job_of(key)
-            job = self.jobs.get(ref) if ref is not None else None
+            job_id = records.job_of(key)
+            job = self.jobs.get(job_id) if job_id is not None else None
             if job is not None:
                 uncertain.add(job.team)
             elif team is not None:
                 uncertain.add(self.teams.index(team))
         self.ledger.uncertain = uncertain
 
-    def take_again(self, ref: str) -> None:
+    def take_again(self, job_id: str) -> None:
         """Books a job's allocations anew, as they are on record."""
-        self._take_job(ref)
-        for where in [*self.state.allocations.get(ref, ()), *(w for w in list(self._booked) if w.job == ref)]:
+        self._take_job(job_id)
+        for where in [*self.state.allocations.get(job_id, ()), *(w for w in list(self._booked) if w.job == job_id)]:
             self._take_allocation(where)
-        self._settle(ref)
+        self._settle(job_id)
 
-    def _settle(self, ref: str) -> None:
+    def _settle(self, job_id: str) -> None:
         """What a job wants of its team's share; and jobs that are over go, once their bookings have been undone."""
-        job = self.jobs.get(ref)
+        job = self.jobs.get(job_id)
         if job is None:
             return
-        record = self.state.jobs.get(ref)
-        first = self.state.admitted.get(ref)
+        record = self.state.jobs.get(job_id)
+        first = self.state.admissions.get(job_id)
         # Without a count, all tasks were admitted by one transaction, if any were.
-        job.admitted = first.next if first else job.tasks if ref in self.state.allocations else 0
+        job.admitted = first.next if first else job.tasks if job_id in self.state.allocations else 0
         wants = (job.tasks - job.ended) if record is not None and not record.cancelled else 0
-        if wants != self._wanted.get(ref, 0):
-            self._wanted[ref] = wants
+        if wants != self._wanted.get(job_id, 0):
+            self._wanted[job_id] = wants
             self._guaranteed = None
-        if record is None and ref not in self.state.allocations:
-            del self.jobs[ref]
-            self._wanted.pop(ref, None)
+        if record is None and job_id not in self.state.allocations:
+            del self.jobs[job_id]
+            self._wanted.pop(job_id, None)
 
     def dark(self) -> set[str]:
         """Zones whose owner says that nobody hears their workers: what is there is no room for anyone."""
         members = self.state.members
-        owners = {zone: members.get(partition.node) for zone, partition in self.state.parts.items()}
-        return {zone for zone, member in owners.items() if member is not None and zone in member.dark}
+        owners = {zone: members.get(partition.node) for zone, partition in self.state.partitions.items()}
+        return {zone for zone, member in owners.items() if member is not None and zone in member.unreachable_zones}
 
     def guaranteed(self) -> set[str]:
         """Jobs that fit into their team's guarantee together with the team's earlier ones: they need not wait on others."""
@@ -211,17 +211,19 @@
             out = self._guaranteed = set()
             cpus: dict[int, float] = defaultdict(float)
             gpus: dict[int, float] = defaultdict(float)
-            for job in sorted((self.jobs[ref] for ref, wants in self._wanted.items() if wants), key=lambda job: job.at):
+            for job in sorted(
+                (self.jobs[job_id] for job_id, wants in self._wanted.items() if wants), key=lambda job: job.at
+            ):
                 team = self.limits.get(job.team)
                 if team is None:
                     continue
-                wants = self._wanted[job.ref]
+                wants = self._wanted[job.job_id]
                 cpus[job.team] += wants * job.need.cpus
                 gpus[job.team] += wants * job.need.gpus
                 if cpus[job.team] <= team.cpus + EPSILON and (
                     gpus[job.team] <= team.gpus + EPSILON or job.need.gpus == 0
                 ):
-                    out.add(job.ref)
+                    out.add(job.job_id)
         return self._guaranteed
 
     def rank(self, job: JobView, starving: bool) -> tuple[int, bool, float, float]:
@@ -238,7 +240,7 @@
             due = job.start_by
         else:
             due = job.due + self._size_s(job) if job.due is not None else float("inf")
-        return job.need.priority, job.ref not in self.guaranteed(), due, job.at
+        return job.need.priority, job.job_id not in self.guaranteed(), due, job.at
 
     def _size_s(self, job: JobView) -> float:
         """How much later than its deadline says a job comes in the order, by what of it has yet to start.
@@ -259,12 +261,12 @@
         limit = self.limits.get(team)
         return sum(self.running[team].values()) - (limit.cpus if limit is not None else 0.0)
 
-    def _take_job(self, ref: str) -> None:
-        record = self.state.jobs.get(ref)
-        if record is not None and ref not in self.jobs:
-            self.jobs[ref] = self._job_view(ref, record)
+    def _take_job(self, job_id: str) -> None:
+        record = self.state.jobs.get(job_id)
+        if record is not None and job_id not in self.jobs:
+            self.jobs[job_id] = self._job_view(job_id, record)
 
-    def _job_view(self, ref: str, record: records.JobRecord) -> JobView:
+    def _job_view(self, job_id: str, record: records.JobRecord) -> JobView:
         """The decisions' view of a job."""
         spec = record.spec
         gang = spec.kind == wire.GANG
@@ -279,7 +281,7 @@
             frozenset([self.zones.index(spec.zone)]) if spec.zone is not None else None,
         )
         return JobView(
-            ref,
+            job_id,
             need,
             Charge.of(spec.cpus, spec.gpus),
             self.teams.index(spec.team),
@@ -288,11 +290,11 @@
             spec.tasks,
             (spec.tasks + 1) // 2 if spec.spread else None,
             spec.one_zone or gang,
-            record.at + spec.deadline_s if spec.deadline_s is not None else None,
-            record.at,
+            record.submitted_at + spec.deadline_s if spec.deadline_s is not None else None,
+            record.submitted_at,
             spec.estimate_s,
             spec.image_gb,
-            record.at + self._start_within.get(spec.job_class, GANG_START_S) if gang else None,
+            record.submitted_at + self._start_within.get(spec.job_class, GANG_START_S) if gang else None,
         )
 
     def _take_machine(self, zone: str, name: str) -> None:
@@ -324,42 +326,42 @@
             self.rooms[machine] = self.zone_rooms[where][machine] = room
             for allocation, count in self._assigned[machine].items():
                 room.take(self.jobs[allocation.job].need, count)
-        room.open = record.open
+        room.open = record.schedulable
 
-    def _take_allocation(self, where: AllocationKey) -> None:
-        job = self.jobs.get(where.job)
+    def _take_allocation(self, allocation: AllocationKey) -> None:
+        job = self.jobs.get(allocation.job)
         if job is None:
             # Over, or not read yet: keys are read in their order, allocations before jobs. What is skipped for good here
             # is never charged (docs/incidents/2026-12-02-team-limit.md).
-            self._note_jobless(where)
+            self._note_jobless(allocation)
             return
         charged = 0  # tasks more than before
-        old = self._booked.pop(where, None)
+        old = self._booked.pop(allocation, None)
         if old is not None:
-            self._waiting.pop(where, None)
-            self._count(where, job, old, -1)
+            self._waiting.pop(allocation, None)
+            self._count(allocation, job, old, -1)
             charged -= old.charged
-        record = self.state.allocations.get(where.job, {}).get(where)
+        record = self.state.allocations.get(allocation.job, {}).get(allocation)
         if record is not None:
-            self._booked[where] = new = self._sum(where, record)
+            self._booked[allocation] = new = self._sum(allocation, record)
             if new.free:
-                self._waiting[where] = new
-            self._count(where, job, new, 1)
+                self._waiting[allocation] = new
+            self._count(allocation, job, new, 1)
             charged += new.charged
         if charged:
             self.ledger.change(job.team, job.charge_each.times(charged))
 
-    def _note_jobless(self, where: AllocationKey) -> None:
-        mine = self._jobless.setdefault(where.job, set())
-        if where in self.state.allocations.get(where.job, ()):
-            mine.add(where)
+    def _note_jobless(self, allocation: AllocationKey) -> None:
+        mine = self._jobless.setdefault(allocation.job, set())
+        if allocation in self.state.allocations.get(allocation.job, ()):
+            mine.add(allocation)
         else:
-            mine.discard(where)
+            mine.discard(allocation)
         if not mine:
-            del self._jobless[where.job]
+            del self._jobless[allocation.job]
 
-    def _sum(self, where: AllocationKey, record: AllocationRecord) -> _Booked:
-        booked = _Booked(self.zones.index(where.zone))
+    def _sum(self, allocation: AllocationKey, record: AllocationRecord) -> _Booked:
+        booked = _Booked(self.zones.index(allocation.zone))
         for entry in record.tasks:
             if entry.state == records.ASSIGNED:
                 machine = self.machines.index(entry.machine)
@@ -374,7 +376,7 @@
                 booked.returned += 1
         return booked
 
-    def _count(self, where: AllocationKey, job: JobView, booked: _Booked, sign: int) -> None:
+    def _count(self, allocation: AllocationKey, job: JobView, booked: _Booked, sign: int) -> None:
         charged = booked.charged
         job.in_zone[booked.zone] += sign * charged
         job.charged += sign * charged
@@ -385,9 +387,9 @@
         for machine, count in booked.on.items():
             assigned = self._assigned[machine]
             if sign > 0:
-                assigned[where] = count
+                assigned[allocation] = count
             else:
-                assigned.pop(where, None)
+                assigned.pop(allocation, None)
                 if not assigned:
                     del self._assigned[machine]
             room = self.rooms.get(machine)
@@ -415,4 +417,7 @@
 
     def waiting(self) -> list[tuple[AllocationKey, JobView, int, int]]:
         """Admitted tasks that no machine has yet: how many of which allocation, and how many were tried often."""
-        return [(where, self.jobs[where.job], booked.free, booked.tried) for where, booked in self._waiting.items()]
+        return [
+            (allocation, self.jobs[allocation.job], booked.free, booked.tried)
+            for allocation, booked in self._waiting.items()
+        ]
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -15,7 +15,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.history import CLAIM
 from spurarch.storage.limits import Urgency
-from spurarch.storage.store import Outcome, Store, StoreUnavailableError, Verdict
+from spurarch.storage.store import Store, StoreUnavailableError, TransactionResult, TransactionStatus
 
 HEARTBEAT_S = 1.0
 FINISHED = "opened"  # the step of a rebuilding that is over
@@ -26,9 +26,9 @@
     """Who rebuilds. `epoch` is 0 until it has been chosen; `step` is for people."""
 
     node: str
-    boot: str = field(name="boot")
+    process_incarnation: str = field(name="boot")
     name: str  # of the history to come
-    beat: int = field(name="beat")
+    heartbeat_number: int = field(name="beat")
     epoch: int = 0
     step: str = ""
 
@@ -52,7 +52,7 @@
     @property
     def mine(self) -> bool:
         """This process rebuilds."""
-        return self.record is not None and self.record.boot == self._boot
+        return self.record is not None and self.record.process_incarnation == self._boot
 
     @property
     def version(self) -> int:
@@ -81,42 +81,47 @@
         if not free and not self.mine and not silent:
             return False
         record = ClaimRecord(self._node, self._boot, name, 1, 0, "sealing")
-        return (await self._write(record, [], [])).verdict is Verdict.DONE
+        return (await self._write(record, [], [])).status is TransactionStatus.COMMITTED
 
     async def commit(
         self, guards: list[wire.Guard], changes: list[wire.Put | wire.Delete], step: str, epoch: int | None = None
     ) -> None:
         """Makes changes as the one that rebuilds; raises if this is somebody else by now."""
         record = self.record
-        if record is None or record.boot != self._boot:
+        if record is None or record.process_incarnation != self._boot:
             raise ClaimLostError("the claim is not ours")
         after = ClaimRecord(
-            self._node, self._boot, record.name, record.beat + 1, record.epoch if epoch is None else epoch, step
+            self._node,
+            self._boot,
+            record.name,
+            record.heartbeat_number + 1,
+            record.epoch if epoch is None else epoch,
+            step,
         )
-        outcome = await self._write(after, guards, changes)
-        if outcome.verdict is Verdict.REFUSED:
+        result = await self._write(after, guards, changes)
+        if result.status is TransactionStatus.NOT_EXECUTED:
             raise StoreUnavailableError("the state service refused a change of the rebuilding")
-        if outcome.verdict is not Verdict.DONE:
-            raise ClaimLostError(f"{outcome.verdict.value} {outcome.failed}")
+        if result.status is not TransactionStatus.COMMITTED:
+            raise ClaimLostError(f"{result.status.value} {result.failed_keys}")
 
     async def _write(
         self, record: ClaimRecord, guards: list[wire.Guard], changes: list[wire.Put | wire.Delete]
-    ) -> Outcome:
+    ) -> TransactionResult:
         own = wire.Guard(CLAIM, self._version)
         txn = wire.Txn([own, *guards], [wire.Put(CLAIM, record), *changes])
-        outcome = await self._store.txn(txn, Urgency.MEMBERSHIP)
-        if outcome.verdict is Verdict.UNKNOWN:
-            outcome = await self._settle(record, outcome)
-        if outcome.verdict is Verdict.DONE:
-            self.record, self._version, self._unchanged_since = record, outcome.revision, time.monotonic()
-        return outcome
-
-    async def _settle(self, record: ClaimRecord, outcome: Outcome) -> Outcome:
+        result = await self._store.txn(txn, Urgency.MEMBERSHIP)
+        if result.status is TransactionStatus.UNKNOWN:
+            result = await self._settle(record, result)
+        if result.status is TransactionStatus.COMMITTED:
+            self.record, self._version, self._unchanged_since = record, result.revision, time.monotonic()
+        return result
+
+    async def _settle(self, record: ClaimRecord, result: TransactionResult) -> TransactionResult:
         """Whether a transaction without an answer was carried out: the claim that it wrote is there.
 
         If it is not, it may still come; the changed conditions of the next one would then fail, and the claim is lost.
         """
         item = await self._store.get(CLAIM)
         if item is not None and _decoder.decode(item.value) == record:
-            return Outcome(Verdict.DONE, item.version)
-        return outcome
+            return TransactionResult(TransactionStatus.COMMITTED, item.version)
+        return result
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -85,7 +85,9 @@
         print("archived: nothing yet")
     if status.claim is not None:
         claim = status.claim
-        print(f"last rebuilding: {claim.name} by {claim.node}, {claim.step}, epoch {claim.epoch}, beat {claim.beat}")
+        print(
+            f"last rebuilding: {claim.name} by {claim.node}, {claim.step}, epoch {claim.epoch}, beat {claim.heartbeat_number}"
+        )
     print(f"in doubt: {len(status.doubts)}")
 
 
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -12,7 +12,7 @@
 from spurarch.recovery.evidence import Source, SourceKind
 from spurarch.storage import records
 from spurarch.storage.history import PACKED, HistoryRecord
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 from spurarch.storage.seeds import SEED
 from spurarch.storage.store import Store
 from spurarch.transport.http import NoAnswerError
@@ -49,7 +49,7 @@
     """A controller lives that does not know recovery."""
 
 
-def stored_records(state: State) -> list[StoredRecord]:
+def stored_records(state: ClusterState) -> list[StoredRecord]:
     """All that a copy in memory holds, as it is passed on."""
     out = [
         StoredRecord(key, entry.version, wire.encode(entry.record))
@@ -73,7 +73,7 @@
     return out, following if following < len(stored) else 0
 
 
-def memory_source(node: str, state: State, since: int) -> Source:
+def memory_source(node: str, state: ClusterState, since: int) -> Source:
     """This controller's own copy."""
     source = Source(SourceKind.REPLICA, node, since, state.revision)
     for record in stored_records(state):
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -9,7 +9,7 @@
 from spurarch.recovery.service import RecoveryService
 from spurarch.settings import Platform, Tuning
 from spurarch.storage.history import HistoryGuard
-from spurarch.storage.records import IN_DOUBT, FinalRecord
+from spurarch.storage.records import UNRESOLVED, FinalRecord
 from spurarch.transport.network import Network
 
 
@@ -53,5 +53,5 @@
     `before` is the controller of this process that did.
     """
     finals = before.replica.state.finals if before is not None else {}
-    certain = {job: final for job, final in finals.items() if final.state != IN_DOUBT}
+    certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
     return Controller(platform, tuning, network, boot, extension=RecoveryExtension(tuning, certain))
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -201,13 +201,13 @@
             for job, final in source.finals.items():
                 found[job][final.state] = final
         for job, states in found.items():
-            certain = sorted(state for state in states if state != records.IN_DOUBT)
+            certain = sorted(state for state in states if state != records.UNRESOLVED)
             if len(certain) == 1:
                 self._out.finals[job] = states[certain[0]]
             elif certain:
                 self._doubt(job, DoubtKind.CONFLICT, " and ".join(certain), states[certain[0]].tasks)
             else:
-                self._doubt(job, DoubtKind.OUTCOME, "in doubt before", states[records.IN_DOUBT].tasks)
+                self._doubt(job, DoubtKind.OUTCOME, "in doubt before", states[records.UNRESOLVED].tasks)
 
     def _take_jobs(self) -> None:
         cancelled: dict[str, JobRecord] = {}
@@ -237,17 +237,17 @@
     def _doubt(self, job: str, kind: DoubtKind, detail: str, tasks: int) -> None:
         self._out.doubts.append(Doubt(job, kind.value, detail))
         if kind is not DoubtKind.UNKNOWN_JOB:
-            self._out.finals[job] = FinalRecord(records.IN_DOUBT, tasks)
+            self._out.finals[job] = FinalRecord(records.UNRESOLVED, tasks)
 
     # Tasks
 
     def _take_allocations(self) -> None:
         for key, found in sorted(self._alive.items()):
             if isinstance(found.record, AllocationRecord):
-                where = AllocationKey.parse(key)
-                if where.job in self._out.jobs:
+                allocation = AllocationKey.parse(key)
+                if allocation.job in self._out.jobs:
                     for entry in found.record.tasks:
-                        self._take_entry(where, entry)
+                        self._take_entry(allocation, entry)
 
         for source in self._copies if self._reopened else ():
             for key, found in sorted(source.alive.items()):
@@ -255,13 +255,13 @@
                     for entry in found.record.tasks:
                         self._take_entry(AllocationKey.parse(key), entry)
 
-    def _take_entry(self, where: AllocationKey, entry: TaskEntry) -> None:
-        task = self._tasks[where.job][entry.index]
+    def _take_entry(self, allocation: AllocationKey, entry: TaskEntry) -> None:
+        task = self._tasks[allocation.job][entry.index]
         task.ended = task.ended or entry.state == records.ENDED
         if entry.attempt >= task.attempt:
-            task.attempt, task.zone = entry.attempt, where.zone
+            task.attempt, task.zone = entry.attempt, allocation.zone
         if entry.state == records.ASSIGNED:
-            place = _Placement(entry.attempt, where.zone, entry.machine, entry.session)
+            place = _Placement(entry.attempt, allocation.zone, entry.machine, entry.incarnation)
             task.recorded = _higher(task.recorded, place)
 
     def _apply_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
@@ -318,8 +318,8 @@
         chunk = 0
         for zone, entries in sorted(by_zone.items()):
             for at in range(0, len(entries), self._tasks_per_record):
-                where = AllocationKey(zone, job, chunk)
-                self._out.allocations[where] = AllocationRecord(entries[at : at + self._tasks_per_record])
+                allocation = AllocationKey(zone, job, chunk)
+                self._out.allocations[allocation] = AllocationRecord(entries[at : at + self._tasks_per_record])
                 chunk += 1
         if 0 < admitted < record.spec.tasks:  # one that is admitted as a whole needs no count
             self._out.admitted[job] = AdmissionRecord(admitted, chunk)
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -28,7 +28,7 @@
 )
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import FinalRecord
-from spurarch.storage.store import Store, Verdict
+from spurarch.storage.store import Store, TransactionStatus
 
 PURGE_AT_ONCE = 4  # no state service allows fewer changes in a transaction
 
@@ -88,7 +88,9 @@
     if await store.get(CURRENT) is not None:
         raise OperatorError("there is a history already (recovery status)")
     page = await store.page(records.LIVE, None)
-    own = [item.key for item in page.items if not item.key.startswith((records.MEMBER, records.LEADER, records.PART))]
+    own = [
+        item.key for item in page.items if not item.key.startswith((records.MEMBER, records.LEADER, records.PARTITION))
+    ]
     if own and not adopt:
         raise OperatorError("there are records already: --adopt declares them whole")
     history = HistoryRecord(os.urandom(6).hex(), 1, archived_answers=archived_answers, installation=installation)
@@ -109,7 +111,7 @@
     key = history.prefix + records.FINAL + job
     known = await store.get(key)
     final = msgspec.json.decode(known.value, type=FinalRecord) if known is not None else FinalRecord(state, 0)
-    if final.state not in (records.IN_DOUBT, state):
+    if final.state not in (records.UNRESOLVED, state):
         raise OperatorError(f"{job} is {final.state} on record")
     guards = await _guards(store, history)
     guards += [wire.Guard(key, known.version if known is not None else 0), wire.Guard(doubt.key, doubt.version)]
@@ -171,6 +173,6 @@
 
 
 async def _commit(store: Store, txn: wire.Txn) -> None:
-    outcome = await store.txn(txn, Urgency.USERS)
-    if outcome.verdict is not Verdict.DONE:
-        raise OperatorError(f"not done ({outcome.verdict.value}): look at `recovery status`, and try again")
+    result = await store.txn(txn, Urgency.USERS)
+    if result.status is not TransactionStatus.COMMITTED:
+        raise OperatorError(f"not done ({result.status.value}): look at `recovery status`, and try again")
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -37,7 +37,7 @@
     PackedFinals,
     packed_key,
 )
-from spurarch.storage.records import IN_DOUBT, FinalRecord, LeaderRecord, MemberRecord, PartitionRecord
+from spurarch.storage.records import UNRESOLVED, FinalRecord, LeaderRecord, MemberRecord, PartitionRecord
 from spurarch.storage.seeds import SEED, SeedRecord, pack
 from spurarch.storage.store import Store
 from spurarch.transport.network import Calls, Requests
@@ -387,18 +387,18 @@
         for where, allocation in picture.allocations.items():
             yield str(where), allocation
         for job, final in picture.finals.items():
-            if final.state == IN_DOUBT:
+            if final.state == UNRESOLVED:
                 yield records.FINAL + job, final
         for doubt in picture.doubts:
             yield DOUBT + doubt.job, doubt
         for number, jobs in enumerate(packed):
             yield f"{PACKED}{number}", PackedFinals(jobs)
         for zone in self._around.deployment.zones:
-            yield records.PART + zone, PartitionRecord("", self._epoch)
+            yield records.PARTITION + zone, PartitionRecord("", self._epoch)
 
     def _seeded(self, contents: dict[str, object]) -> dict[str, object]:
         """The same with records that are alive many in one value; partitions change hands at once, and keep their own."""
-        shared = [key for key in contents if key.startswith(records.LIVE) and not key.startswith(records.PART)]
+        shared = [key for key in contents if key.startswith(records.LIVE) and not key.startswith(records.PARTITION)]
         seeds = [SeedRecord(key, msgspec.Raw(wire.encode(contents[key]))) for key in shared]
         state = self._around.deployment.state
         seeded = set(shared)
@@ -409,7 +409,7 @@
 
     def _pack(self, finals: dict[str, FinalRecord]) -> list[dict[str, tuple[str, int]]]:
         """Final standings by the records that hold them, each within the limit on values."""
-        certain = {job: final for job, final in finals.items() if final.state != IN_DOUBT}
+        certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
         limit = self._around.deployment.state.value_bytes
         count = -(-2 * PACKED_FINAL_BYTES * len(certain) // limit)
         while count:
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -277,7 +277,7 @@
 
     def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Workers that show a later epoch than their partition has on record have seen a history that is gone."""
-        part = self._replica.state.parts.get(heartbeat.zone)
+        part = self._replica.state.partitions.get(heartbeat.zone)
         shown = heartbeat.fencing_token >> TOKEN_BITS
         if part is not None and shown > part.epoch and len(self._suspicious) < SUSPICIOUS_KEPT:
             self._suspicious[heartbeat.machine] = _Suspicion(heartbeat.zone, shown)
@@ -287,7 +287,7 @@
         suspicious, self._suspicious = self._suspicious, {}
         if len(suspicious) < SUSPICIOUS_LEAST or not await self._replica.sync():
             return
-        parts = self._replica.state.parts
+        parts = self._replica.state.partitions
         unexplained = [s for s in suspicious.values() if s.zone in parts and s.epoch > parts[s.zone].epoch]
         if len(unexplained) >= SUSPICIOUS_LEAST:
             self._guard.lose(f"{len(unexplained)} workers show epochs that are not on record")
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -23,9 +23,9 @@
 class CloudError(Exception):
     """A call was not served. `unsure` says that it may have been, or may be later."""
 
-    def __init__(self, reason: str, unsure: bool = False) -> None:
+    def __init__(self, reason: str, outcome_unknown: bool = False) -> None:
         super().__init__(reason)
-        self.unsure = unsure
+        self.outcome_unknown = outcome_unknown
 
 
 class NoCapacityError(Exception):
@@ -45,11 +45,11 @@
         self._bucket.set_rate(time.monotonic(), rate, max(1.0, 2 * rate))
 
     async def _call(
-        self, method: str, target: str, body: bytes | None, still: Callable[[], bool] = lambda: True
+        self, method: str, target: str, body: bytes | None, still_allowed: Callable[[], bool] = lambda: True
     ) -> tuple[int, bytes]:
         while delay := self._bucket.delay(time.monotonic(), 1):
             await curio.sleep(delay)
-        if not still():
+        if not still_allowed():
             raise CloudError("no longer wanted")
         try:
             status, answer = await self._client.request(method, target, body, CALL_S)
@@ -80,17 +80,17 @@
                 return out
             after = page.machines[-1].id
 
-    async def rent(self, rental: wire.ScaleOutRequest, still: Callable[[], bool]) -> list[str]:
+    async def scale_out(self, request: wire.ScaleOutRequest, still_allowed: Callable[[], bool]) -> list[str]:
         """Rents machines; the same request may be repeated without renting twice.
 
         `still` is asked at the last moment whether the caller may do this.
         """
-        _, answer = await self._call("POST", wire.PATH_MACHINES, wire.encode(rental), still)
+        _, answer = await self._call("POST", wire.PATH_MACHINES, wire.encode(request), still_allowed)
         return _decode(wire.names_decoder, answer).machines
 
-    async def release(self, names: list[str], still: Callable[[], bool]) -> None:
+    async def release(self, names: list[str], still_allowed: Callable[[], bool]) -> None:
         """Returns up to 100 machines; they are gone when this ends without an error. `still` as in `rent`."""
-        await self._call("POST", wire.PATH_RELEASE, wire.encode(wire.MachineNames(names)), still)
+        await self._call("POST", wire.PATH_RELEASE, wire.encode(wire.MachineNames(names)), still_allowed)
 
 
 def _decode(decoder: msgspec.json.Decoder[wire.T], answer: bytes) -> wire.T:
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -21,7 +21,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import FINAL, LEADER, LIVE, MEMBER
 from spurarch.storage.seeds import SEED
-from spurarch.storage.store import Outcome, StoreUnavailableError, Verdict
+from spurarch.storage.store import StoreUnavailableError, TransactionResult, TransactionStatus
 
 HISTORY = "history/"
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
@@ -221,18 +221,23 @@
                 changes.append(wire.Delete(self.physical(change.key)))
         return wire.Txn([*guards, wire.Guard(self.marker, self._open_version)], changes)
 
-    def judge(self, before: int, outcome: Outcome, now: float) -> Outcome:
+    def judge(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
         """What the outcome of a transaction says: nothing is confirmed to anybody once there is a sign of loss."""
-        if outcome.verdict is Verdict.CONFLICT and self.marker in outcome.failed:
+        if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
             self.lose(f"history {self.record.name} was sealed")
-        if outcome.verdict not in (Verdict.DONE, Verdict.CONFLICT):
-            return outcome
+        if result.status not in (TransactionStatus.COMMITTED, TransactionStatus.CONFLICT):
+            return result
         try:
-            self.check_revision(before, outcome.revision, now)
+            self.check_revision(before, result.revision, now)
         except HistoryClosedError:
-            return Outcome(Verdict.UNKNOWN if outcome.verdict is Verdict.DONE else Verdict.CONFLICT, outcome.revision)
-        failed = [self.logical(key) or key for key in outcome.failed]
-        return Outcome(outcome.verdict, outcome.revision, failed)
+            return TransactionResult(
+                TransactionStatus.UNKNOWN
+                if result.status is TransactionStatus.COMMITTED
+                else TransactionStatus.CONFLICT,
+                result.revision,
+            )
+        failed = [self.logical(key) or key for key in result.failed_keys]
+        return TransactionResult(result.status, result.revision, failed)
 
     def physical(self, key: str) -> str:
         """A record's key as the state service knows it."""
@@ -275,11 +280,11 @@
             self.lose(f"history {self.record.name} was sealed")
         elif event.put in (ARCHIVED, CURRENT):
             try:
-                self._take_news(event)
+                self._apply_changes(event)
             except msgspec.DecodeError:
                 return
 
-    def _take_news(self, event: wire.Event) -> None:
+    def _apply_changes(self, event: wire.Event) -> None:
         if event.put == ARCHIVED:
             archived = decode_archived(event.value)
             if archived.name == self.record.name:
--- a/spurarch/storage/limits.py
+++ b/spurarch/storage/limits.py
@@ -75,28 +75,28 @@
 
     def __init__(self, floor: float, decrease: float, recovery: float) -> None:
         self.value = 1.0
-        self._floor, self._decrease, self._recovery = floor, decrease, recovery
+        self._floor, self._decrease_factor, self._recovery = floor, decrease, recovery
 
-    def refused(self) -> None:
+    def decrease(self) -> None:
         """The service refused a call for its rate."""
-        self.value = max(self._floor, self.value * self._decrease)
+        self.value = max(self._floor, self.value * self._decrease_factor)
 
     def recover(self) -> None:
         """Some time went by."""
         self.value = min(1.0, self.value + self._recovery)
 
 
-def lend(node: str, shares: dict[str, float], used: dict[str, float], hungry: set[str]) -> float:
+def borrowed_share(node: str, shares: dict[str, float], used: dict[str, float], backlogged: set[str]) -> float:
     """A caller's share once what the others leave unused is lent to those with more to do.
 
     Nobody falls below its own share, and everybody keeps some room above what it used, so a caller that becomes busy
     need not wait for the news to get around. All who know the same reach shares that add up to no more than one.
     """
     keep = {
-        n: share if n in hungry else min(share, LENDER_KEEPS * share + LENDER_ROOM * used.get(n, share))
+        n: share if n in backlogged else min(share, LENDER_KEEPS * share + LENDER_ROOM * used.get(n, share))
         for n, share in shares.items()
     }
-    if node not in hungry:
+    if node not in backlogged:
         return keep[node]
-    takers = sum(share for n, share in shares.items() if n in hungry)
+    takers = sum(share for n, share in shares.items() if n in backlogged)
     return shares[node] + (sum(shares.values()) - sum(keep.values())) * shares[node] / takers
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -15,13 +15,13 @@
 from spurarch.protocol.wire import Submission, SubmittedTeam
 
 LIVE = "live/"
-JOB, ADMISSION, ALLOT = "live/job/", "live/admitted/", "live/allot/"
-PART, MEMBER, LEADER, MACHINE = "live/part/", "live/member/", "live/leader", "live/machine/"
+JOB, ADMISSION, ALLOCATION = "live/job/", "live/admitted/", "live/allot/"
+PARTITION, MEMBER, LEADER, MACHINE = "live/part/", "live/member/", "live/leader", "live/machine/"
 FINAL = "final/"
 
 FREE, ASSIGNED, ENDED, RETURNED = 0, 1, 2, 3
 
-IN_DOUBT = "in doubt"  # state of a final record: the job is over or was lost, and an operator has to say which
+UNRESOLVED = "in doubt"  # state of a final record: the job is over or was lost, and an operator has to say which
 
 GANG_VERSION = 1  # the first version that starts gangs as a whole
 PROGRAM_VERSION = GANG_VERSION  # written into this process's member record
@@ -35,7 +35,7 @@
     """
 
     spec: Submission
-    at: float = field(name="at")
+    submitted_at: float = field(name="at")
     cancelled: bool = False
     cancelled_at: float = 0.0
 
@@ -57,7 +57,7 @@
     state: int = FREE
     attempt: int = 0
     machine: str = ""
-    session: int = 0
+    incarnation: int = 0
 
 
 class AllocationRecord(Struct, array_like=True):
@@ -71,7 +71,7 @@
 
     node: str
     epoch: int
-    boot: str = field(name="boot", default="")
+    process_incarnation: str = field(name="boot", default="")
 
 
 class MemberRecord(Struct):
@@ -84,10 +84,10 @@
     """
 
     node: str
-    boot: str = field(name="boot")
+    process_incarnation: str = field(name="boot")
     area: str
-    unfit: list[str] = field(name="unfit", default=[])
-    dark: list[str] = field(name="dark", default=[])
+    isolated_zones: list[str] = field(name="unfit", default=[])
+    unreachable_zones: list[str] = field(name="dark", default=[])
     version: int = 0
 
 
@@ -95,7 +95,7 @@
     """The leading controller."""
 
     node: str
-    boot: str = field(name="boot")
+    process_incarnation: str = field(name="boot")
 
 
 class MachineRecord(Struct):
@@ -104,7 +104,7 @@
     type: str
     spot: bool
     addr: str
-    open: bool = field(name="open", default=True)
+    schedulable: bool = field(name="open", default=True)
 
 
 class FinalRecord(Struct):
@@ -130,8 +130,8 @@
     for prefix, kind in (
         (JOB, JobRecord),
         (ADMISSION, AdmissionRecord),
-        (ALLOT, AllocationRecord),
-        (PART, PartitionRecord),
+        (ALLOCATION, AllocationRecord),
+        (PARTITION, PartitionRecord),
         (MEMBER, MemberRecord),
         (LEADER, LeaderRecord),
         (MACHINE, MachineRecord),
@@ -192,18 +192,18 @@
 
     def __str__(self) -> str:
         """The key in the state service."""
-        return f"{ALLOT}{self.zone}/{self.job}/{self.chunk}"
+        return f"{ALLOCATION}{self.zone}/{self.job}/{self.chunk}"
 
     @staticmethod
     def parse(key: str) -> AllocationKey:
         """The inverse of str()."""
-        zone, job, chunk = key[len(ALLOT) :].rsplit("/", 2)
+        zone, job, chunk = key[len(ALLOCATION) :].rsplit("/", 2)
         return AllocationKey(zone, job, int(chunk))
 
 
 def job_of(key: str) -> str | None:
     """The job that a key belongs to, if it does to one."""
-    if key.startswith(ALLOT):
+    if key.startswith(ALLOCATION):
         return AllocationKey.parse(key).job
     for prefix in (JOB, ADMISSION):
         if key.startswith(prefix):
@@ -221,7 +221,7 @@
 
 
 def split(
-    where: AllocationKey, record: AllocationRecord, most_tasks: int
+    allocation: AllocationKey, record: AllocationRecord, most_tasks: int
 ) -> list[tuple[AllocationKey, AllocationRecord]]:
     """The record, or what takes its place if it holds more tasks than may be written to one key.
 
@@ -229,10 +229,10 @@
     or not at all; records from before a limit was lowered are split that way when they are next written.
     """
     pieces = [record.tasks[at : at + most_tasks] for at in range(0, len(record.tasks), most_tasks)]
-    out = [(where, AllocationRecord(pieces[0] if pieces else []))]
+    out = [(allocation, AllocationRecord(pieces[0] if pieces else []))]
     for number, tasks in enumerate(pieces[1:], start=1):
-        chunk = SPLIT_FROM + (where.chunk % SPLIT_FROM) * SPLIT_STRIDE + number
-        out.append((AllocationKey(where.zone, where.job, chunk), AllocationRecord(tasks)))
+        chunk = SPLIT_FROM + (allocation.chunk % SPLIT_FROM) * SPLIT_STRIDE + number
+        out.append((AllocationKey(allocation.zone, allocation.job, chunk), AllocationRecord(tasks)))
     return out
 
 
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -33,7 +33,13 @@
     PartitionRecord,
     Record,
 )
-from spurarch.storage.store import Outcome, RevisionTooOldError, Store, StoreUnavailableError, Verdict
+from spurarch.storage.store import (
+    RevisionTooOldError,
+    Store,
+    StoreUnavailableError,
+    TransactionResult,
+    TransactionStatus,
+)
 
 if TYPE_CHECKING:
     from spurarch.storage.history import HistoryGuard
@@ -50,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class VersionedRecord:
     """A record and the revision of its last change."""
 
     version: int
@@ -66,25 +72,25 @@
     lease: int | None = None
 
 
-class State:
+class ClusterState:
     """The records, indexed the ways they are asked for. Pure bookkeeping without I/O."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, VersionedRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
-        self.admitted: dict[str, AdmissionRecord] = {}
+        self.admissions: dict[str, AdmissionRecord] = {}
         self.allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)  # by job
         self.zone_allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)
-        self.parts: dict[str, PartitionRecord] = {}
+        self.partitions: dict[str, PartitionRecord] = {}
         self.members: dict[str, MemberRecord] = {}
         self.machines: dict[str, dict[str, MachineRecord]] = defaultdict(dict)  # by zone
         self.leader: LeaderRecord | None = None
         self.gangs = 0  # jobs whose tasks start together
         self.finals: OrderedDict[str, FinalRecord] = OrderedDict()
         self.revision = 0
-        self.whole_from = 0.0  # the revision from which on this is what the service held at one moment
+        self.consistent_from = 0.0  # the revision from which on this is what the service held at one moment
         self.unreadable: dict[str, str | None] = {}  # by key; of jobs, the team if that much can be told
-        self._dropped: dict[str, int] = {}
+        self._deleted: dict[str, int] = {}
         self._subscribers: list[dict[str, None]] = []
 
     def subscribe(self) -> dict[str, None]:
@@ -94,9 +100,9 @@
         return dirty
 
     @property
-    def whole(self) -> bool:
+    def consistent(self) -> bool:
         """The records are those of one revision, and not of pages that were read one after the other."""
-        return self.revision >= self.whole_from
+        return self.revision >= self.consistent_from
 
     def version(self, key: str) -> int:
         """The revision of a key's last change; 0 if it does not exist."""
@@ -105,7 +111,7 @@
 
     def put(self, key: str, version: int, record: Record) -> None:
         """Takes in a record unless something newer is known."""
-        if version <= self.version(key) or version <= self._dropped.get(key, 0):
+        if version <= self.version(key) or version <= self._deleted.get(key, 0):
             return
         if isinstance(record, FinalRecord):
             self.finals[key[len(records.FINAL) :]] = record
@@ -113,35 +119,35 @@
                 self.finals.popitem(last=False)
             return
         self.unreadable.pop(key, None)
-        self.entries[key] = Entry(version, record)
+        self.entries[key] = VersionedRecord(version, record)
         self._index(key, record)
-        self._touch(key)
+        self._mark_changed(key)
 
-    def note_unreadable(self, key: str, team: str | None) -> bool:
+    def record_unreadable(self, key: str, team: str | None) -> bool:
         """Notes that what stands under a key can't be read; whether that is new."""
         new = key not in self.unreadable
         self.unreadable[key] = team
         if new:
-            self._touch(key)
+            self._mark_changed(key)
         return new
 
-    def drop(self, key: str, version: int) -> None:
+    def delete(self, key: str, version: int) -> None:
         """Takes in a deletion unless the key was written later."""
         if key in self.unreadable:
             del self.unreadable[key]
-            self._touch(key)
+            self._mark_changed(key)
         entry = self.entries.get(key)
         if entry is not None and entry.version > version:
             return
         if version > self.revision:
             # A deletion of our own may be known before older news of the same key arrive by watch.
-            self._dropped[key] = version
+            self._deleted[key] = version
         if entry is not None:
             del self.entries[key]
             self._unindex(key, entry.record)
-            self._touch(key)
+            self._mark_changed(key)
 
-    def committed(self, writes: list[Write], revision: int) -> None:
+    def apply_commit(self, writes: list[Write], revision: int) -> None:
         """Takes in a transaction of our own.
 
         A watch may have brought it already, with what others did to the same keys since; taking it in again would
@@ -151,17 +157,17 @@
             return
         for write in writes:
             if write.record is None:
-                self.drop(write.key, revision)
+                self.delete(write.key, revision)
             else:
                 self.put(write.key, revision, write.record)
 
     def advance(self, revision: int) -> None:
         """All changes up to a revision are in."""
         self.revision = max(self.revision, revision)
-        if self._dropped:
-            self._dropped = {k: v for k, v in self._dropped.items() if v > self.revision}
+        if self._deleted:
+            self._deleted = {k: v for k, v in self._deleted.items() if v > self.revision}
 
-    def _touch(self, key: str) -> None:
+    def _mark_changed(self, key: str) -> None:
         for dirty in self._subscribers:
             dirty[key] = None
 
@@ -170,13 +176,13 @@
             self.gangs += record.spec.kind == wire.GANG and record.spec.id not in self.jobs
             self.jobs[record.spec.id] = record
         elif isinstance(record, AdmissionRecord):
-            self.admitted[key[len(records.ADMISSION) :]] = record
+            self.admissions[key[len(records.ADMISSION) :]] = record
         elif isinstance(record, AllocationRecord):
-            where = AllocationKey.parse(key)
-            self.allocations[where.job][where] = record
-            self.zone_allocations[where.zone][where] = record
+            allocation = AllocationKey.parse(key)
+            self.allocations[allocation.job][allocation] = record
+            self.zone_allocations[allocation.zone][allocation] = record
         elif isinstance(record, PartitionRecord):
-            self.parts[key[len(records.PART) :]] = record
+            self.partitions[key[len(records.PARTITION) :]] = record
         elif isinstance(record, MemberRecord):
             self.members[record.node] = record
         elif isinstance(record, LeaderRecord):
@@ -190,16 +196,16 @@
             self.gangs -= record.spec.kind == wire.GANG and record.spec.id in self.jobs
             self.jobs.pop(record.spec.id, None)
         elif isinstance(record, AdmissionRecord):
-            self.admitted.pop(key[len(records.ADMISSION) :], None)
+            self.admissions.pop(key[len(records.ADMISSION) :], None)
         elif isinstance(record, AllocationRecord):
-            where = AllocationKey.parse(key)
-            mine = self.allocations[where.job]
-            mine.pop(where, None)
+            allocation = AllocationKey.parse(key)
+            mine = self.allocations[allocation.job]
+            mine.pop(allocation, None)
             if not mine:
-                del self.allocations[where.job]
-            self.zone_allocations[where.zone].pop(where, None)
+                del self.allocations[allocation.job]
+            self.zone_allocations[allocation.zone].pop(allocation, None)
         elif isinstance(record, PartitionRecord):
-            self.parts.pop(key[len(records.PART) :], None)
+            self.partitions.pop(key[len(records.PARTITION) :], None)
         elif isinstance(record, MemberRecord):
             self.members.pop(record.node, None)
         elif isinstance(record, LeaderRecord):
@@ -214,44 +220,44 @@
 
     def __init__(self, store: Store) -> None:
         self.store = store
-        self.state = State()
-        self.state.whole_from = float("inf")
+        self.state = ClusterState()
+        self.state.consistent_from = float("inf")
         self.loaded = False
         self.seeds: Seeds | None = None  # only in a rebuilt history
         self.loaded_revision = 0  # since which the copy has missed no change
         self.reachable = True  # only to log an outage once
         self.synced_at = float("-inf")  # the copy held everything that had been changed before this moment
-        self._bells: list[curio.Event] = []
-        self._batch: _Batch | None = None
-        self._wanted = curio.Event()
+        self._listeners: list[curio.Event] = []
+        self._pending_sync: _SharedSync | None = None
+        self._sync_requested = curio.Event()
 
     @property
-    def whole(self) -> bool:
+    def consistent(self) -> bool:
         """The copy was read completely, and followed to a revision at which all of it was so at one moment."""
-        return self.loaded and self.state.whole
+        return self.loaded and self.state.consistent
 
     def listen(self) -> curio.Event:
         """An event that is set whenever something may have changed; its owner clears it."""
         bell = curio.Event()
-        self._bells.append(bell)
+        self._listeners.append(bell)
         return bell
 
-    async def ring(self) -> None:
+    async def notify(self) -> None:
         """Wakes all who listen."""
-        for bell in self._bells:
+        for bell in self._listeners:
             await bell.set()
 
-    async def load_small(self) -> None:
+    async def load_ownership(self) -> None:
         """Reads what is needed to answer workers, before everything else."""
-        for prefix in (records.PART, records.MEMBER, records.LEADER):
+        for prefix in (records.PARTITION, records.MEMBER, records.LEADER):
             page = await self.store.page(prefix, None)
             for item in page.items:
-                self._take(item.key, item.version, item.value)
+                self._apply_value(item.key, item.version, item.value)
 
     async def load(self) -> None:
         """Reads everything that is alive; the watch then starts from the revision before the first page."""
         start = time.monotonic()
-        self.state.whole_from = float("inf")
+        self.state.consistent_from = float("inf")
         after: str | None = None
         first: int | None = None
         pages = 0
@@ -267,15 +273,15 @@
             first = page.revision if first is None else first
             for item in page.items:
                 seen.add(item.key)
-                self._take(item.key, item.version, item.value)
+                self._apply_value(item.key, item.version, item.value)
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
         for key in set(self.state.entries) - seen:
             if self.state.version(key) <= first:
-                self.state.drop(key, first)
+                self.state.delete(key, first)
         self.state.revision = self.loaded_revision = first
-        self.state.whole_from = max(first, page.revision)
+        self.state.consistent_from = max(first, page.revision)
         self.loaded = True
         log.info(
             "read %d records in %d pages and %.2f s, revisions %d to %d",
@@ -286,7 +292,7 @@
             page.revision,
         )
         self.synced_at = max(self.synced_at, start)
-        await self.ring()
+        await self.notify()
 
     async def _load_seeds(self, seen: set[str]) -> int:
         """Reads the records that have no keys of their own yet; the revision of the first page."""
@@ -304,16 +310,16 @@
                 self.seeds.put(packed)
                 for record in packed.pack.records:
                     seen.add(record.key)
-                    self._take(record.key, SEED_VERSION, record.value)
+                    self._apply_value(record.key, SEED_VERSION, record.value)
             if not page.more or not page.items:
                 return first
             after = page.items[-1].key
 
-    def _take(self, key: str, version: int, value: msgspec.Raw) -> None:
+    def _apply_value(self, key: str, version: int, value: msgspec.Raw) -> None:
         try:
             record = records.decode(key, value)
         except msgspec.DecodeError as err:
-            if self.state.note_unreadable(key, records.team_of(key, value)):
+            if self.state.record_unreadable(key, records.team_of(key, value)):
                 log.error("unreadable record %s: %s", key, err)
             return
         if record is not None:
@@ -325,9 +331,9 @@
             if event.version <= self.state.revision:
                 continue
             if event.put is not None:
-                self._take(event.put, event.version, event.value)
+                self._apply_value(event.put, event.version, event.value)
             elif event.delete is not None:
-                self.state.drop(event.delete, event.version)
+                self.state.delete(event.delete, event.version)
                 if self.seeds is not None:
                     self.seeds.drop(event.delete)
             taken += 1
@@ -339,7 +345,7 @@
                 await curio.sleep(0)
         self.state.advance(changes.revision)
         if changes.events:
-            await self.ring()
+            await self.notify()
 
     async def run_watch(self) -> None:
         """Follows changes in the background."""
@@ -365,9 +371,9 @@
     async def run_sync(self) -> None:
         """Serves all who wait for a fresh copy with one read."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
-            batch, self._batch = self._batch, None
+            await self._sync_requested.wait()
+            self._sync_requested.clear()
+            batch, self._pending_sync = self._pending_sync, None
             if batch is None:
                 continue
             try:
@@ -376,23 +382,23 @@
                     raise StoreUnavailableError("not loaded")
                 await self._apply(await self.store.watch(self.state.revision, 0))
                 self.synced_at = max(self.synced_at, started)
-                batch.good = True
+                batch.succeeded = True
             except (StoreUnavailableError, RevisionTooOldError) as err:
                 log.debug("sync: %s", err)
-            await batch.ready.set()
+            await batch.finished.set()
             await curio.sleep(max(SYNC_PAUSE_S, 1 / (READS_SHARE * self.store.request_rate)))
 
     async def sync(self, timeout_s: float = 1.5) -> bool:
         """Brings the copy up to what the service held when this was called; False if that can't be had."""
-        if self._batch is None:
-            self._batch = _Batch()
-        batch = self._batch
-        await self._wanted.set()
+        if self._pending_sync is None:
+            self._pending_sync = _SharedSync()
+        batch = self._pending_sync
+        await self._sync_requested.set()
         try:
-            await curio.timeout_after(timeout_s, batch.ready.wait)
+            await curio.timeout_after(timeout_s, batch.finished.wait)
         except curio.TaskTimeout:
             return False
-        return batch.good
+        return batch.succeeded
 
     async def read_final(self, job: str) -> FinalRecord | None:
         """The final standing of a job, from memory or from the service."""
@@ -431,7 +437,7 @@
         give_up_s: float | None = None,
         urgency: Urgency = Urgency.STARTS,
         pinned: dict[str, int] | None = None,
-    ) -> Outcome:
+    ) -> TransactionResult:
         """Commits writes if every written or guarded key still has the version known here.
 
         `pinned` are further guards, with the versions that the caller decided by.
@@ -442,9 +448,9 @@
         guards = list(guards)
         if self.seeds is not None:
             for packed in self.seeds.holding([*guards, *(write.key for write in writes)]):
-                outcome = await self._unpack(packed, urgency)
-                if outcome.verdict is not Verdict.DONE:
-                    return outcome
+                result = await self._unpack(packed, urgency)
+                if result.status is not TransactionStatus.COMMITTED:
+                    return result
         versions = {key: self.state.version(key) for key in guards}
         versions.update((write.key, self.state.version(write.key)) for write in writes)
         versions.update((key, 0) for key in absent)
@@ -454,25 +460,25 @@
             [wire.Delete(w.key) if w.record is None else wire.Put(w.key, w.record, w.lease) for w in writes],
         )
         started = time.monotonic()
-        unsure = False
+        outcome_unknown = False
         while True:
-            outcome = await self.store.txn(txn, urgency)
-            if outcome.verdict is Verdict.UNKNOWN:
-                unsure = True
-            elif outcome.verdict is Verdict.DONE:
-                await self._committed(writes, outcome.revision)
-                return outcome
-            elif outcome.verdict is Verdict.CONFLICT:
+            result = await self.store.txn(txn, urgency)
+            if result.status is TransactionStatus.UNKNOWN:
+                outcome_unknown = True
+            elif result.status is TransactionStatus.COMMITTED:
+                await self._apply_commit(writes, result.revision)
+                return result
+            elif result.status is TransactionStatus.CONFLICT:
                 if await self.sync() and self.store.history is not None:
-                    self._check_conflict(self.store.history, versions, outcome.failed)
-                return outcome
-            elif not unsure:
-                return outcome
+                    self._check_conflict(self.store.history, versions, result.failed_keys)
+                return result
+            elif not outcome_unknown:
+                return result
             if give_up_s is not None and time.monotonic() - started > give_up_s:
-                return Outcome(Verdict.UNKNOWN)
-            await curio.sleep(0.1 if outcome.verdict is Verdict.UNKNOWN else 0.3)
+                return TransactionResult(TransactionStatus.UNKNOWN)
+            await curio.sleep(0.1 if result.status is TransactionStatus.UNKNOWN else 0.3)
 
-    async def _unpack(self, packed: PackedSeed, urgency: Urgency) -> Outcome:
+    async def _unpack(self, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
         """Writes the records of a value under their own keys; nobody else can have changed any of them meanwhile."""
         assert self.seeds is not None
         found = [record.key for record in packed.pack.records]
@@ -480,14 +486,14 @@
             [wire.Guard(packed.key, packed.version), *(wire.Guard(key, 0) for key in found)],
             [*(wire.Put(record.key, record.value) for record in packed.pack.records), wire.Delete(packed.key)],
         )
-        outcome = await self.store.txn(txn, urgency)
-        if outcome.verdict is Verdict.DONE:
+        result = await self.store.txn(txn, urgency)
+        if result.status is TransactionStatus.COMMITTED:
             self.seeds.drop(packed.key)
             for record in packed.pack.records:
-                self._take(record.key, outcome.revision, record.value)
-        elif outcome.verdict is not Verdict.REFUSED:
+                self._apply_value(record.key, result.revision, record.value)
+        elif result.status is not TransactionStatus.NOT_EXECUTED:
             await self.sync()  # another controller has unpacked it, or this one without an answer
-        return outcome
+        return result
 
     def _check_conflict(self, history: HistoryGuard, sent: dict[str, int], failed: list[str]) -> None:
         """A copy brought up to date explains why a condition failed; if it doesn't, records were lost one by one."""
@@ -495,14 +501,14 @@
             if key.startswith(records.LIVE) and sent.get(key, -1) == self.state.version(key):
                 history.lose(f"record {key} is not at {sent[key]}, and no change says why")
 
-    async def _committed(self, writes: list[Write], revision: int) -> None:
-        self.state.committed(writes, revision)
-        await self.ring()
+    async def _apply_commit(self, writes: list[Write], revision: int) -> None:
+        self.state.apply_commit(writes, revision)
+        await self.notify()
 
 
-class _Batch:
+class _SharedSync:
     """Callers that share one read."""
 
     def __init__(self) -> None:
-        self.ready = curio.Event()
-        self.good = False
+        self.finished = curio.Event()
+        self.succeeded = False
