--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -28,7 +28,7 @@
 RECOVER = 0.05
 RECOVER_BELOW_PUBLISHED = 0.02  # slower where the rate is known to fall for good
 LOG_EVERY_S = 10.0
-HUNGRY = 0.4  # level of the bucket of changes below which more are wanted
+BACKLOG_LEVEL = 0.4  # level of the bucket of changes below which more are wanted
 
 
 def _floor(published: float, lowest: float) -> float:
@@ -36,28 +36,28 @@
     return lowest / published if lowest < published else 0.0
 
 
-class Verdict(enum.Enum):
+class TransactionStatus(enum.Enum):
     """How a transaction ended."""
 
-    DONE = "done"
+    COMMITTED = "done"
     CONFLICT = "conflict"
-    REFUSED = "refused"  # certainly not executed
+    NOT_EXECUTED = "refused"  # certainly not executed
     UNKNOWN = "unknown"  # may have been executed, or may be later
     NO_LEASE = "no lease"
     INVALID = "invalid"
 
 
 @dataclass(slots=True)
-class Outcome:
+class TransactionResult:
     """Result of a transaction."""
 
-    verdict: Verdict
+    status: TransactionStatus
     revision: int = 0
-    failed: list[str] = field(default_factory=list)
+    failed_keys: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Found:
+class _KeyRead:
     """What stands under a key, and the revision of its last change; without a key, that of the service."""
 
     item: wire.Item | None
@@ -90,11 +90,11 @@
         even = RATE_SHARE / controllers
         self._requests = TokenBucket(rps * even, rps * even)
         self._writes = TokenBucket(write_rps * even, write_rps * even)
-        self._lines = {urgency: curio.Lock() for urgency in Urgency}
+        self._queues = {urgency: curio.Lock() for urgency in Urgency}
         recovery = RECOVER if limits.next is None else RECOVER_BELOW_PUBLISHED
         self._request_factor = AdaptiveFactor(_floor(rps, limits.lowest_rps), BACK_OFF, recovery)
         self._write_factor = AdaptiveFactor(_floor(write_rps, limits.lowest_write_rps), BACK_OFF, recovery)
-        self.writes_refused = 0  # transactions refused for a rate since this process started
+        self.throttled_writes = 0  # transactions refused for a rate since this process started
         self._logged_at = 0.0
         self._recent, self._recent_at = 0.0, 0.0
         self._made: list[float] = [0, 0, 0, 0.0]  # requests, changes, refusals, longest wait since the last line of log
@@ -135,7 +135,7 @@
         now = time.monotonic()
         rate = self._recent / max(0.1, now - self._recent_at)
         self._recent, self._recent_at = 0.0, now
-        return rate, self._writes.level(now) < HUNGRY
+        return rate, self._writes.level(now) < BACKLOG_LEVEL
 
     @property
     def request_rate(self) -> float:
@@ -151,19 +151,19 @@
         """How much of a second's changes is left, as a share; small or negative while changes wait in line."""
         return self._writes.level(time.monotonic())
 
-    def note_peer_refused(self) -> None:
+    def record_peer_throttled(self) -> None:
         """Another controller's changes were refused: the rate is one for all."""
-        self._write_factor.refused()
+        self._write_factor.decrease()
 
-    def _refused(self, target: str) -> None:
+    def _record_throttled(self, target: str) -> None:
         log.info("state service: over the rate")
         self._made[2] += 1
-        self._request_factor.refused()
+        self._request_factor.decrease()
         self._requests.penalize(time.monotonic())
         if target == wire.PATH_TXN:
             # Nothing tells which of the two rates was exceeded.
-            self.writes_refused += 1
-            self._write_factor.refused()
+            self.throttled_writes += 1
+            self._write_factor.decrease()
 
     async def _call(
         self, method: str, target: str, body: bytes | None, wait_s: float = 0.0, urgency: Urgency = Urgency.STARTS
@@ -173,7 +173,7 @@
         self._made[0] += 1
         status, answer = await self._client.request(method, target, body, CALL_S + wait_s)
         if status == 429:
-            self._refused(target)
+            self._record_throttled(target)
         return status, answer
 
     async def _read(self, target: str, wait_s: float = 0.0) -> tuple[int, bytes]:
@@ -200,14 +200,14 @@
         await self._verify(history)
         return None
 
-    async def _get(self, key: str) -> _Found:
+    async def _get(self, key: str) -> _KeyRead:
         status, answer = await self._read(f"{wire.PATH_KV}/{key}")
         if status == 404:
-            return _Found(None, _decode(wire.txn_decoder, answer).revision if self.history is not None else 0)
+            return _KeyRead(None, _decode(wire.txn_decoder, answer).revision if self.history is not None else 0)
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
         item = _decode(wire.item_decoder, answer)
-        return _Found(item, item.version)
+        return _KeyRead(item, item.version)
 
     async def page(self, prefix: str, after: str | None) -> wire.Page:
         """Reads a page of keys."""
@@ -261,11 +261,11 @@
         marker = await self._get(history.marker)
         history.check_marker(marker.revision if marker.item is not None else 0, time.monotonic())
 
-    def ready(self, urgency: Urgency) -> bool:
+    def can_write_now(self, urgency: Urgency) -> bool:
         """A transaction of this urgency would not have to wait in line."""
-        return not self._lines[urgency].locked() and self._writes.level(time.monotonic()) >= urgency.value
+        return not self._queues[urgency].locked() and self._writes.level(time.monotonic()) >= urgency.value
 
-    async def txn(self, txn: wire.Txn, urgency: Urgency = Urgency.STARTS) -> Outcome:
+    async def txn(self, txn: wire.Txn, urgency: Urgency = Urgency.STARTS) -> TransactionResult:
         """Runs a transaction."""
         history = self.history
         if history is None:
@@ -273,16 +273,16 @@
         try:
             before = history.check_open()
         except StoreUnavailableError:
-            return Outcome(Verdict.REFUSED)
-        outcome = history.judge(before, await self._txn(history.bound(txn), urgency), time.monotonic())
-        if outcome.verdict is Verdict.DONE:
-            history.note_recorded((change.key for change in txn.then), outcome.revision)
-        return outcome
+            return TransactionResult(TransactionStatus.NOT_EXECUTED)
+        result = history.judge(before, await self._txn(history.bound(txn), urgency), time.monotonic())
+        if result.status is TransactionStatus.COMMITTED:
+            history.note_recorded((change.key for change in txn.then), result.revision)
+        return result
 
-    async def _txn(self, txn: wire.Txn, urgency: Urgency) -> Outcome:
+    async def _txn(self, txn: wire.Txn, urgency: Urgency) -> TransactionResult:
         started = time.monotonic()
         # In line: otherwise whoever asks more often would be served, and a large transaction of a part might never be.
-        async with self._lines[urgency]:
+        async with self._queues[urgency]:
             while delay := self._writes.delay(time.monotonic(), len(txn.then), urgency):
                 await curio.sleep(delay)
         self._made[1] += len(txn.then)
@@ -293,24 +293,24 @@
             urgency = Urgency.MEMBERSHIP if urgency is Urgency.MEMBERSHIP else Urgency.USERS
             status, answer = await self._call("POST", wire.PATH_TXN, wire.encode(txn), urgency=urgency)
         except NoAnswerError as err:
-            return Outcome(Verdict.UNKNOWN if err.sent else Verdict.REFUSED)
+            return TransactionResult(TransactionStatus.UNKNOWN if err.sent else TransactionStatus.NOT_EXECUTED)
         try:
             if status == 200:
-                return Outcome(Verdict.DONE, wire.txn_decoder.decode(answer).revision)
+                return TransactionResult(TransactionStatus.COMMITTED, wire.txn_decoder.decode(answer).revision)
             if status == 409:
                 body = wire.txn_decoder.decode(answer)
-                return Outcome(Verdict.CONFLICT, body.revision, body.failed)
+                return TransactionResult(TransactionStatus.CONFLICT, body.revision, body.failed)
         except msgspec.DecodeError:
-            return Outcome(Verdict.UNKNOWN)
+            return TransactionResult(TransactionStatus.UNKNOWN)
         if status == 429:
             self._writes.penalize(time.monotonic())
-            return Outcome(Verdict.REFUSED)
+            return TransactionResult(TransactionStatus.NOT_EXECUTED)
         if status == 503:
-            return Outcome(Verdict.REFUSED)
+            return TransactionResult(TransactionStatus.NOT_EXECUTED)
         if status == 400 and b"lease" in answer:
-            return Outcome(Verdict.NO_LEASE)
+            return TransactionResult(TransactionStatus.NO_LEASE)
         log.error("state service refused a transaction: %d %s", status, answer[:200])
-        return Outcome(Verdict.INVALID)
+        return TransactionResult(TransactionStatus.INVALID)
 
     async def grant(self, ttl_s: float) -> int | None:
         """Obtains a lease."""
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -403,23 +403,23 @@
             await self._poll(job.ref)
             await curio.sleep(0.3 + 0.2 * self.random.random())
 
-    async def _poll(self, ref: str) -> None:
-        status, answer = await self.users.ask("GET", f"/submissions/{ref}", b"")
+    async def _poll(self, job_id: str) -> None:
+        status, answer = await self.users.ask("GET", f"/submissions/{job_id}", b"")
         if status == 200:
-            self._note(TOLD, ref, answer["standing"])
+            self._note(TOLD, job_id, answer["standing"])
         elif status == 404:
-            self._note(TOLD, ref, "unknown")
+            self._note(TOLD, job_id, "unknown")
 
-    def _note(self, kind: str, ref: str, detail: str = "") -> None:
-        self.log.note(Event(self.clock.now, kind, ref, detail=detail))
+    def _note(self, kind: str, job_id: str, detail: str = "") -> None:
+        self.log.note(Event(self.clock.now, kind, job_id, detail=detail))
 
-    async def cancel(self, ref: str, until: float) -> None:
+    async def cancel(self, job_id: str, until: float) -> None:
         """A user calls a job off, and asks until it is confirmed."""
-        self._note(ASKED_TO_CANCEL, ref)
+        self._note(ASKED_TO_CANCEL, job_id)
         while self.clock.now < until:
-            status, answer = await self.users.ask("POST", f"/submissions/{ref}/cancel", b"{}")
+            status, answer = await self.users.ask("POST", f"/submissions/{job_id}/cancel", b"{}")
             if status == 200:
-                self._note(TOLD, ref, answer["standing"])
+                self._note(TOLD, job_id, answer["standing"])
                 return
             await curio.sleep(0.3)
 
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -320,20 +320,20 @@
             return response.status, json.loads(response.body)
         return 504, {}
 
-    def _tell(self, ref: str, state: str) -> None:
-        told = self.told.setdefault(ref, [])
+    def _tell(self, job_id: str, state: str) -> None:
+        told = self.told.setdefault(job_id, [])
         final = [s for s in told if s in ("done", "aborted")]
         if final and state != final[0]:
-            self.problems.append(f"went_back: {ref} was {final[0]}, now {state}")
-        if state == "done" and len(self.world.done.get(ref, set())) < self.world.jobs[ref]["legs"]:
-            self.problems.append(f"not_done: {ref}")
-        if state == "aborted" and ref not in self.world.cancelled_at and not self.told.get(ref + " asked"):
-            self.problems.append(f"went_back: {ref} was never cancelled")
+            self.problems.append(f"went_back: {job_id} was {final[0]}, now {state}")
+        if state == "done" and len(self.world.done.get(job_id, set())) < self.world.jobs[job_id]["legs"]:
+            self.problems.append(f"not_done: {job_id}")
+        if state == "aborted" and job_id not in self.world.cancelled_at and not self.told.get(job_id + " asked"):
+            self.problems.append(f"went_back: {job_id} was never cancelled")
         told.append(state)
 
-    async def _user(self, ref: str, opts: dict[str, str]) -> None:
+    async def _user(self, job_id: str, opts: dict[str, str]) -> None:
         spec = {
-            "ref": ref,
+            "ref": job_id,
             "circuit": "c",
             "crew": opts.get("team", "t"),
             "gait": opts.get("kind", "batch"),
@@ -354,41 +354,41 @@
             "stow_s": float(opts.get("save", 0.0)),
             "cutoff_s": None,
         }
-        self.world.jobs[ref] = spec
-        self.world.submitted[ref] = self.clock.now
-        self.world.run_s[ref] = [float(run) for run in opts.get("run", "5").split(",")]
+        self.world.jobs[job_id] = spec
+        self.world.submitted[job_id] = self.clock.now
+        self.world.run_s[job_id] = [float(run) for run in opts.get("run", "5").split(",")]
         if "faulty" in opts:
-            self.world.faulty.add(ref)
+            self.world.faulty.add(job_id)
         body = json.dumps(spec).encode()
         for _ in range(60):
             status, _answer = await self._ask("POST", "/submissions", body, opts.get("node"))
             self.answers.append(status)
             if status in (200, 201):
-                self.told.setdefault(ref, []).append("accepted")
+                self.told.setdefault(job_id, []).append("accepted")
                 break
             if status in (400, 422):
-                self.told.setdefault(ref, []).append(str(status))
+                self.told.setdefault(job_id, []).append(str(status))
                 return
             await curio.sleep(1.0)
         while True:
             await curio.sleep(2.0)
-            status, answer = await self._ask("GET", f"/submissions/{ref}", b"")
+            status, answer = await self._ask("GET", f"/submissions/{job_id}", b"")
             if status == 200:
-                self.answered[ref] = self.clock.now
-                self._tell(ref, answer["standing"])
-            elif self.clock.now - max(self.answered.get(ref, 0.0), self.trouble_until) > FORGOTTEN_S:
-                self.problems.append(f"forgotten: no question about {ref} was answered for {FORGOTTEN_S:.0f} s")
-            elif status == 404 and self.told.get(ref):
-                self.problems.append(f"forgotten: {ref} got 404")
+                self.answered[job_id] = self.clock.now
+                self._tell(job_id, answer["standing"])
+            elif self.clock.now - max(self.answered.get(job_id, 0.0), self.trouble_until) > FORGOTTEN_S:
+                self.problems.append(f"forgotten: no question about {job_id} was answered for {FORGOTTEN_S:.0f} s")
+            elif status == 404 and self.told.get(job_id):
+                self.problems.append(f"forgotten: {job_id} got 404")
 
-    async def _cancel(self, ref: str, node: str | None) -> None:
-        self.told[ref + " asked"] = ["yes"]
+    async def _cancel(self, job_id: str, node: str | None) -> None:
+        self.told[job_id + " asked"] = ["yes"]
         for _ in range(60):
-            status, answer = await self._ask("POST", f"/submissions/{ref}/cancel", b"{}", node)
+            status, answer = await self._ask("POST", f"/submissions/{job_id}/cancel", b"{}", node)
             if status == 200:
                 if answer["standing"] == "aborted":
-                    self.world.cancelled_at.setdefault(ref, self.clock.now)
-                self._tell(ref, answer["standing"])
+                    self.world.cancelled_at.setdefault(job_id, self.clock.now)
+                self._tell(job_id, answer["standing"])
                 return
             await curio.sleep(1.0)
 
@@ -399,13 +399,13 @@
             while self.world.ended:
                 await curio.spawn(self._cancel, self.world.ended.pop(), None, daemon=True)
 
-    async def _again(self, ref: str, expected: int, node: str | None) -> None:
+    async def _again(self, job_id: str, expected: int, node: str | None) -> None:
         """A user repeats a submission; 503 is an answer too, and any standing must fit what was told before."""
-        status, answer = await self._ask("POST", "/submissions", json.dumps(self.world.jobs[ref]).encode(), node)
+        status, answer = await self._ask("POST", "/submissions", json.dumps(self.world.jobs[job_id]).encode(), node)
         if status == 200:
-            self._tell(ref, answer["standing"])
+            self._tell(job_id, answer["standing"])
         if status not in (expected, 503, 504):
-            self.problems.append(f"a repeat of {ref} got {status} instead of {expected}")
+            self.problems.append(f"a repeat of {job_id} got {status} instead of {expected}")
 
     async def _raw(self, args: list[str]) -> None:
         """`raw METHOD TARGET STATUS [BODY]`: one request whose status is checked."""
--- a/tests/sim/soak.py
+++ b/tests/sim/soak.py
@@ -246,8 +246,8 @@
     async def _cancel_burst(self, trouble: Trouble) -> None:
         """Users call several jobs off at once, and some of the machines hang."""
         running = sorted({task.name.split("/")[0] for _, task in self.world.on_machines()} - self._cancelled)
-        for ref in running[:4]:
-            await curio.spawn(self._cancel, ref, daemon=True)
+        for job_id in running[:4]:
+            await curio.spawn(self._cancel, job_id, daemon=True)
         for worker, task in list(self.world.on_machines()):
             if task.name.split("/")[0] in running[:2]:
                 worker.hang_until = max(worker.hang_until, self.clock.now + trouble.for_s)
@@ -256,82 +256,82 @@
 
     async def use(self, planned: PlannedJob) -> None:
         """A user with one job: submits, asks at all nodes, repeats, calls off, until the job is over."""
-        ref = planned.job.ref
+        job_id = planned.job.ref
         body = self.describe(planned.job)
-        self.log.tasks[ref] = planned.job.tasks if planned.job.kind != "daemon" else 0
-        if not await self._submit(ref, body):
+        self.log.tasks[job_id] = planned.job.tasks if planned.job.kind != "daemon" else 0
+        if not await self._submit(job_id, body):
             return
         if planned.cancel_after_s is not None:
-            await curio.spawn(self._cancel, ref, planned.cancel_after_s, daemon=True)
+            await curio.spawn(self._cancel, job_id, planned.cancel_after_s, daemon=True)
         repeat_at = self.clock.now + (planned.repeat_after_s or 1e9)
-        await self._ask_everywhere(ref)
-        while ref not in self._final:
+        await self._ask_everywhere(job_id)
+        while job_id not in self._final:
             await curio.sleep(0.4 + 0.8 * self.random.random())
-            await self._look(ref, self.random.choice(self.nodes)[1])
+            await self._look(job_id, self.random.choice(self.nodes)[1])
             if self.clock.now >= repeat_at:
                 repeat_at = 1e9
-                await self._repeat(ref, body)
-        await self._ask_everywhere(ref)
-        self._open.discard(ref)
+                await self._repeat(job_id, body)
+        await self._ask_everywhere(job_id)
+        self._open.discard(job_id)
 
-    async def _submit(self, ref: str, body: bytes) -> bool:
+    async def _submit(self, job_id: str, body: bytes) -> bool:
         while True:
             status, _ = await self.users.ask("POST", "/submissions", body)
             if status in (200, 201):
-                self.log.note(Event(self.clock.now, ACCEPTED, ref))
+                self.log.note(Event(self.clock.now, ACCEPTED, job_id))
                 return True
             if status in (400, 422):
-                self.problems.append(f"{ref} was refused with {status}")
+                self.problems.append(f"{job_id} was refused with {status}")
                 return False
             await curio.sleep(0.5)
 
-    async def _repeat(self, ref: str, body: bytes) -> None:
-        before = self._final.get(ref)
+    async def _repeat(self, job_id: str, body: bytes) -> None:
+        before = self._final.get(job_id)
         status, answer = await self.users.ask("POST", "/submissions", body)
         if status in (400, 422):
-            self.problems.append(f"forgotten: {ref} was refused with {status} when it was repeated")
+            self.problems.append(f"forgotten: {job_id} was refused with {status} when it was repeated")
         elif status in (200, 201):
-            self._told(ref, answer["standing"], before)
+            self._told(job_id, answer["standing"], before)
 
-    async def _cancel(self, ref: str, after_s: float = 0.0) -> None:
+    async def _cancel(self, job_id: str, after_s: float = 0.0) -> None:
         await curio.sleep(after_s)
-        self._cancelled.add(ref)
+        self._cancelled.add(job_id)
         while True:
-            before = self._final.get(ref)
-            status, answer = await self.users.ask("POST", f"/submissions/{ref}/cancel", b"{}")
+            before = self._final.get(job_id)
+            status, answer = await self.users.ask("POST", f"/submissions/{job_id}/cancel", b"{}")
             if status == 200:
-                self._told(ref, answer["standing"], before)
+                self._told(job_id, answer["standing"], before)
                 if answer["standing"] == "aborted":
-                    self.world.cancelled_at.setdefault(ref, self.clock.now)
+                    self.world.cancelled_at.setdefault(job_id, self.clock.now)
                 return
             if status == 404:
-                self.problems.append(f"forgotten: {ref} got 404 when it was cancelled")
+                self.problems.append(f"forgotten: {job_id} got 404 when it was cancelled")
             await curio.sleep(0.5)
 
-    async def _ask_everywhere(self, ref: str) -> None:
+    async def _ask_everywhere(self, job_id: str) -> None:
         """A close look: no node may know less than another has told."""
         for _, address in self.nodes:
-            await self._look(ref, address)
+            await self._look(job_id, address)
 
-    async def _look(self, ref: str, address: str) -> None:
-        before = self._final.get(ref)
-        status, answer = await self.users.ask_at(address, "GET", f"/submissions/{ref}")
+    async def _look(self, job_id: str, address: str) -> None:
+        before = self._final.get(job_id)
+        status, answer = await self.users.ask_at(address, "GET", f"/submissions/{job_id}")
         if status == 404:
-            self.problems.append(f"forgotten: {ref} got 404 after it was accepted")
+            self.problems.append(f"forgotten: {job_id} got 404 after it was accepted")
         elif status == 200:
-            self._told(ref, answer["standing"], before)
+            self._told(job_id, answer["standing"], before)
 
-    def _told(self, ref: str, standing: str, before: str | None) -> None:
+    def _told(self, job_id: str, standing: str, before: str | None) -> None:
         """An answer; `before` is what had been told for good when the question was asked."""
-        self.log.note(Event(self.clock.now, TOLD, ref, detail=standing))
+        self.log.note(Event(self.clock.now, TOLD, job_id, detail=standing))
         if before is not None and standing != before:
-            self.problems.append(f"went_back: {ref} was {before}, now {standing}")
-        if standing == "done" and len(self.world.done.get(ref, ())) < self.world.jobs[ref]["legs"]:
-            self.problems.append(f"not_done: {ref} is called done with {len(self.world.done.get(ref, ()))} tasks")
-        if standing == "aborted" and ref not in self._cancelled:
-            self.problems.append(f"went_back: {ref} is called aborted, and nobody cancelled it")
+            self.problems.append(f"went_back: {job_id} was {before}, now {standing}")
+        if standing == "done" and len(self.world.done.get(job_id, ())) < self.world.jobs[job_id]["legs"]:
+            self.problems.append(f"not_done: {job_id} is called done with {len(self.world.done.get(job_id, ()))} tasks")
+        if standing == "aborted" and job_id not in self._cancelled:
+            self.problems.append(f"went_back: {job_id} is called aborted, and nobody cancelled it")
         if standing in FINAL:
-            self._final.setdefault(ref, standing)
+            self._final.setdefault(job_id, standing)
 
     # The run
 
@@ -362,8 +362,8 @@
             if self._found_planted():
                 return
             await curio.sleep(0.2)
-        for ref in sorted(self._open):
-            self.problems.append(f"waits: {ref} is not over {SETTLE_S:.0f} s after the troubles")
+        for job_id in sorted(self._open):
+            self.problems.append(f"waits: {job_id} is not over {SETTLE_S:.0f} s after the troubles")
 
     def _found_planted(self) -> bool:
         """A planted fault has passed a limit: that is all that the run is for."""
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -21,7 +21,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.records import AllocationKey, AllocationRecord, FinalRecord, JobRecord, TaskEntry
 from spurarch.storage.replica import Write
-from spurarch.storage.store import Outcome, Verdict
+from spurarch.storage.store import TransactionResult, TransactionStatus
 from tests.sim.clock import Clock
 from tests.test_scale import Fleet, submission
 
@@ -54,7 +54,9 @@
         self.committed: list[list[str]] = []
         self.pinned: list[dict[str, int]] = []
 
-    async def commit(self, writes: list[Write], guards: object, urgency: object, pinned: dict[str, int]) -> Outcome:
+    async def commit(
+        self, writes: list[Write], guards: object, urgency: object, pinned: dict[str, int]
+    ) -> TransactionResult:
         """Carries a transaction out."""
         await curio.sleep(0)
         self.committed.append([write.key for write in writes])
@@ -62,21 +64,21 @@
         for write in writes:
             self._fleet.put(write.key, write.record)
         self._meanwhile(writes)
-        return Outcome(Verdict.DONE, self.state.revision)
+        return TransactionResult(TransactionStatus.COMMITTED, self.state.revision)
 
 
 def limited_fleet(limit: float, *jobs: tuple[str, int]) -> Fleet:
     """Jobs of one team with a limit."""
     fleet = Fleet(0)
     fleet.view = FleetView(fleet.state, [Team("t", cpus_max=limit)])
-    for ref, tasks in jobs:
-        fleet.put(f"{records.JOB}{ref}", JobRecord(submission(ref, tasks), 0.0))
+    for job_id, tasks in jobs:
+        fleet.put(f"{records.JOB}{job_id}", JobRecord(submission(job_id, tasks), 0.0))
     fleet.view.update()
     return fleet
 
 
-def grant_of(fleet: Fleet, ref: str, tasks: int) -> Grant:
-    return Grant(ref, fleet.view.zones.index("a"), [TaskEntry(n) for n in range(tasks)])
+def grant_of(fleet: Fleet, job_id: str, tasks: int) -> Grant:
+    return Grant(job_id, fleet.view.zones.index("a"), [TaskEntry(n) for n in range(tasks)])
 
 
 def test_a_later_batch_of_a_plan_finds_its_team_full() -> None:
@@ -90,7 +92,7 @@
     replica: Any = SlowReplica(fleet, meanwhile)
     writer = writer_of(fleet, replica, most_changes=3)
     grants = [grant_of(fleet, "job-1", 2), grant_of(fleet, "job-2", 4)]
-    planned = {ref: writer.as_planned(ref) for ref in ("job-1", "job-2")}
+    planned = {job_id: writer.as_planned(job_id) for job_id in ("job-1", "job-2")}
     curio.run(writer.admit, grants, planned, Urgency.STARTS)
     assert replica.committed == [["live/admitted/job-1", "live/allot/a/job-1/0"]]
     assert fleet.view.ledger.recorded(0) == Charge.of(6.0, 0.0)
@@ -104,9 +106,9 @@
 
     async def both() -> None:
         async with curio.TaskGroup() as group:
-            for ref in ("job-1", "job-2"):
-                planned = {ref: writer.as_planned(ref)}
-                await group.spawn(writer.admit, [grant_of(fleet, ref, 4)], planned, Urgency.STARTS)
+            for job_id in ("job-1", "job-2"):
+                planned = {job_id: writer.as_planned(job_id)}
+                await group.spawn(writer.admit, [grant_of(fleet, job_id, 4)], planned, Urgency.STARTS)
 
     curio.run(both)
     assert replica.committed == [["live/allot/a/job-1/0"]]
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -17,10 +17,10 @@
 from tests.test_scale import Answering, Fleet, submission
 
 
-def waiting_in(fleet: Fleet, zone: str, ref: str, tasks: int) -> None:
+def waiting_in(fleet: Fleet, zone: str, job_id: str, tasks: int) -> None:
     """A job whose tasks were admitted to a zone and found no room there yet."""
-    fleet.put(f"{records.JOB}{ref}", JobRecord(submission(ref, tasks), 0.0))
-    fleet.put(str(AllocationKey(zone, ref, 0)), AllocationRecord([TaskEntry(n) for n in range(tasks)]))
+    fleet.put(f"{records.JOB}{job_id}", JobRecord(submission(job_id, tasks), 0.0))
+    fleet.put(str(AllocationKey(zone, job_id, 0)), AllocationRecord([TaskEntry(n) for n in range(tasks)]))
 
 
 def given_back(queue_of_b: int, scarce: bool = False, grew_at: float = -100.0) -> int:
@@ -112,11 +112,11 @@
     fleet.news(list(fleet.state.entries))
     fleet.report(1, 1, 0)
     fleet.report(1, 2, fleet.partition.token(fleet.partition.machines["vm-1"]))
-    for ref, image, at in (("job-1", "rare", 0.0), ("job-2", "common", 1.0)):
-        spec = submission(ref, 1)
+    for job_id, image, at in (("job-1", "rare", 0.0), ("job-2", "common", 1.0)):
+        spec = submission(job_id, 1)
         spec.image = image
-        fleet.put(f"{records.JOB}{ref}", JobRecord(spec, at))
-        fleet.put(str(AllocationKey("a", ref, 0)), AllocationRecord([TaskEntry(0)]))
+        fleet.put(f"{records.JOB}{job_id}", JobRecord(spec, at))
+        fleet.put(str(AllocationKey("a", job_id, 0)), AllocationRecord([TaskEntry(0)]))
     fleet.news(list(fleet.state.entries))
     fleet.view.rooms[fleet.view.machines.index("vm-1")].images.add(fleet.view.images.index("common"))
     return fleet
@@ -129,9 +129,9 @@
     """
     fleet, placer = warm_fleet(), Placer()
     first = placer.run(fleet.partition, fleet.view, 2.0, lambda: False, 100)
-    assert [where.job for where in first.entries] == ["job-2"]
+    assert [allocation.job for allocation in first.entries] == ["job-2"]
     late = placer.run(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100)  # a fetch takes 10 s
-    assert [where.job for where in late.entries] == ["job-1"]
+    assert [allocation.job for allocation in late.entries] == ["job-1"]
 
 
 def test_a_start_that_waits_in_line_keeps_its_room() -> None:
@@ -141,7 +141,7 @@
     """
     fleet, placer = warm_fleet(), Placer()
     first = placer.run(fleet.partition, fleet.view, 2.0, lambda: False, 100)
-    assert [where.job for where in first.entries] == ["job-2"]
+    assert [allocation.job for allocation in first.entries] == ["job-2"]
     spec = submission("job-3", 1)
     spec.kind = wire.SERVICE
     fleet.put(f"{records.JOB}job-3", JobRecord(spec, 2.0))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -123,10 +123,10 @@
 def test_a_holder_that_does_not_hear_a_zone_gives_it_up() -> None:
     parts = {"a": PartitionRecord("n0", 4)}
     both = members(("n0", "a"), ("n1", "b"))
-    both["n0"].unfit = ["a"]
+    both["n0"].isolated_zones = ["a"]
     assert assign_partitions(["a"], parts, both, {"n0", "n1"}) == {"a": "n1"}
     assert assign_partitions(["a"], {"a": PartitionRecord("n1", 5)}, both, {"n0", "n1"}) == {}
-    both["n1"].unfit = ["a"]
+    both["n1"].isolated_zones = ["a"]
     assert assign_partitions(["a"], {"a": PartitionRecord("n0", 4)}, both, {"n0", "n1"}) == {}
 
 
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -21,7 +21,13 @@
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
 from spurarch.storage.history import HistoryGuard, HistoryRecord
 from spurarch.storage.records import FinalRecord
-from spurarch.storage.store import Outcome, RevisionTooOldError, Store, StoreUnavailableError, Verdict
+from spurarch.storage.store import (
+    RevisionTooOldError,
+    Store,
+    StoreUnavailableError,
+    TransactionResult,
+    TransactionStatus,
+)
 from spurarch.transport.http import NoAnswerError, Request
 from spurarch.transport.http_messages import ResponseParser, render_request
 
@@ -134,19 +140,24 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        ((200, b'{"ledger":432}'), Outcome(Verdict.DONE, 432)),
-        ((409, b'{"failed":["final/job-1"],"ledger":431}'), Outcome(Verdict.CONFLICT, 431, ["final/job-1"])),
-        ((429, b'{"error":"rate"}'), Outcome(Verdict.REFUSED)),
-        ((503, b'{"error":"trouble"}'), Outcome(Verdict.REFUSED)),
-        ((400, b'{"error":"no such lease"}'), Outcome(Verdict.NO_LEASE)),
-        ((400, b'{"error":"malformed"}'), Outcome(Verdict.INVALID)),
-        ((200, b"nonsense"), Outcome(Verdict.UNKNOWN)),
-        (NoAnswerError("timed out", True), Outcome(Verdict.UNKNOWN)),
-        (NoAnswerError("refused", False), Outcome(Verdict.REFUSED)),
+        ((200, b'{"ledger":432}'), TransactionResult(TransactionStatus.COMMITTED, 432)),
+        (
+            (409, b'{"failed":["final/job-1"],"ledger":431}'),
+            TransactionResult(TransactionStatus.CONFLICT, 431, ["final/job-1"]),
+        ),
+        ((429, b'{"error":"rate"}'), TransactionResult(TransactionStatus.NOT_EXECUTED)),
+        ((503, b'{"error":"trouble"}'), TransactionResult(TransactionStatus.NOT_EXECUTED)),
+        ((400, b'{"error":"no such lease"}'), TransactionResult(TransactionStatus.NO_LEASE)),
+        ((400, b'{"error":"malformed"}'), TransactionResult(TransactionStatus.INVALID)),
+        ((200, b"nonsense"), TransactionResult(TransactionStatus.UNKNOWN)),
+        (NoAnswerError("timed out", True), TransactionResult(TransactionStatus.UNKNOWN)),
+        (NoAnswerError("refused", False), TransactionResult(TransactionStatus.NOT_EXECUTED)),
     ],
     ids=["done", "conflict", "rate", "outage", "no-lease", "malformed", "unreadable", "no-answer", "not-sent"],
 )
-def test_a_transaction_is_sent_and_its_answer_understood(answer: Answer | NoAnswerError, outcome: Outcome) -> None:
+def test_a_transaction_is_sent_and_its_answer_understood(
+    answer: Answer | NoAnswerError, outcome: TransactionResult
+) -> None:
     result, sent = with_store(lambda store: store.txn(TXN), answer)
 
     assert sent == [("POST", "/txn", TXN_BYTES)]
@@ -157,9 +168,9 @@
     guard = HistoryGuard()
     assert guard.open(HistoryRecord("9f2c", 2), 40, 50, float("inf"))
 
-    outcome, sent = with_store(lambda store: store.txn(TXN), (200, b'{"ledger":51}'), history=guard)
+    result, sent = with_store(lambda store: store.txn(TXN), (200, b'{"ledger":51}'), history=guard)
 
-    assert outcome == Outcome(Verdict.DONE, 51)
+    assert result == TransactionResult(TransactionStatus.COMMITTED, 51)
     assert sent == [
         (
             "POST",
@@ -236,7 +247,7 @@
 
 def test_machines_are_rented_and_returned() -> None:
     async def story(cloud: Cloud) -> list[str]:
-        names = await cloud.rent(RENTAL, lambda: True)
+        names = await cloud.scale_out(RENTAL, lambda: True)
         await cloud.release(names, lambda: True)
         return names
 
@@ -251,11 +262,11 @@
 
 def test_no_capacity_is_told_from_an_outage() -> None:
     with pytest.raises(NoCapacityError):
-        with_cloud(lambda cloud: cloud.rent(RENTAL, lambda: True), (503, b'{"error":"no capacity"}'))
+        with_cloud(lambda cloud: cloud.scale_out(RENTAL, lambda: True), (503, b'{"error":"no capacity"}'))
     with pytest.raises(CloudError, match="status 503"):
-        with_cloud(lambda cloud: cloud.rent(RENTAL, lambda: True), (503, b'{"error":"trouble"}'))
+        with_cloud(lambda cloud: cloud.scale_out(RENTAL, lambda: True), (503, b'{"error":"trouble"}'))
     with pytest.raises(CloudError, match="status 429"):
-        with_cloud(lambda cloud: cloud.rent(RENTAL, lambda: True), (429, b"{}"))
+        with_cloud(lambda cloud: cloud.scale_out(RENTAL, lambda: True), (429, b"{}"))
 
 
 # The archive's server and its client
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -142,15 +142,15 @@
 
 def test_the_beginnings_of_keys_are_the_stored_ones() -> None:
     assert (records.LIVE, records.FINAL) == ("live/", "final/")
-    assert (records.JOB, records.ADMISSION, records.ALLOT) == ("live/job/", "live/admitted/", "live/allot/")
-    assert (records.PART, records.MEMBER, records.MACHINE) == ("live/part/", "live/member/", "live/machine/")
+    assert (records.JOB, records.ADMISSION, records.ALLOCATION) == ("live/job/", "live/admitted/", "live/allot/")
+    assert (records.PARTITION, records.MEMBER, records.MACHINE) == ("live/part/", "live/member/", "live/machine/")
     assert records.LEADER == "live/leader"
 
 
 def test_the_numbers_of_stored_task_states_and_versions_stand() -> None:
     assert (int(records.FREE), int(records.ASSIGNED), int(records.ENDED), int(records.RETURNED)) == (0, 1, 2, 3)
     assert (records.GANG_VERSION, records.PROGRAM_VERSION) == (1, 1)
-    assert records.IN_DOUBT == "in doubt"
+    assert records.UNRESOLVED == "in doubt"
 
 
 def test_an_allocation_key_is_written_and_parsed_as_stored() -> None:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -76,8 +76,8 @@
 def left(played: Play, but: set[str], may_be: set[str]) -> list[str]:
     """Jobs that have not ended as they should, apart from some."""
     refs = [words[1] for _, words in played.scenario.actions if words[0] == "submit" and words[1] not in but]
-    last = {ref: played.told.get(ref, ["nothing"])[-1] for ref in refs}
-    return [f"{ref} is left: {state}" for ref, state in last.items() if state not in may_be]
+    last = {job_id: played.told.get(job_id, ["nothing"])[-1] for job_id in refs}
+    return [f"{job_id} is left: {state}" for job_id, state in last.items() if state not in may_be]
 
 
 def play(text: str) -> list[str]:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -24,7 +24,7 @@
     PartitionRecord,
     TaskEntry,
 )
-from spurarch.storage.replica import State, Write
+from spurarch.storage.replica import ClusterState, Write
 
 WHERE = AllocationKey("a", "job-1", 0)
 
@@ -90,7 +90,7 @@
     gang = gang_of(assigned(0, 3), free(1, 3))
     assert gang.state is GangState.STOPPING
     assert gang.next_attempt() is None
-    assert [run.index for run in gang.to_stop()] == [0]
+    assert [attempt.index for attempt in gang.to_stop()] == [0]
     assert gang_of(free(0, 3), free(1, 5)).next_attempt() == 6
 
 
@@ -106,8 +106,8 @@
 )
 def test_all_leave_once_one_has_left(why: str) -> None:
     gang = gang_of(assigned(0), assigned(1), assigned(2))
-    for run in gang.members.values():
-        run.advance(Phase.RUNNING)
+    for attempt in gang.members.values():
+        attempt.advance(Phase.RUNNING)
     states = []
     for leaves in (False, True):
         if leaves:
@@ -115,15 +115,15 @@
         gang.settle()
         states.append(gang.state)
     assert states == [GangState.RUNNING, GangState.STOPPING]
-    assert [run.index for run in gang.to_stop()] == [0, 2]
+    assert [attempt.index for attempt in gang.to_stop()] == [0, 2]
     assert gang.grace_s() == 0.0  # there is nothing to save any more
     assert not gang.startable
 
 
 def test_one_that_completed_proves_that_all_did() -> None:
     gang = gang_of(assigned(0), assigned(1))
-    for run in gang.members.values():
-        run.advance(Phase.RUNNING)
+    for attempt in gang.members.values():
+        attempt.advance(Phase.RUNNING)
     gang.members[0].advance(Phase.EXITED, wire.REASON_DONE)
     gang.settle()
     assert gang.state is GangState.ENDED
@@ -137,7 +137,9 @@
     gang = gang_of(TaskEntry(0, records.ENDED, 2), assigned(1, 2))
     assert gang.state is GangState.ENDED
     assert not gang.startable
-    assert [run.index for run in gang.to_stop()] == [1]  # its absence has to be shown, since it may never come back
+    assert [attempt.index for attempt in gang.to_stop()] == [
+        1
+    ]  # its absence has to be shown, since it may never come back
 
 
 def test_members_are_stopped_with_the_same_time_to_save() -> None:
@@ -145,19 +147,19 @@
     gang = gangs.track("job-1", 3, 4.0)
     gang.record(WHERE, [assigned(i) for i in range(3)])
     gang.members.update({i: member(i) for i in range(3)})
-    for run in gang.members.values():
-        run.advance(Phase.RUNNING)
+    for attempt in gang.members.values():
+        attempt.advance(Phase.RUNNING)
     gang.members[2].stop, gang.members[2].grace_s = True, 4.0
     gangs.note("job-1")
-    assert [(run.index, grace) for run, grace in gangs.settle()] == [(0, 4.0), (1, 4.0)]
+    assert [(attempt.index, grace) for attempt, grace in gangs.settle()] == [(0, 4.0), (1, 4.0)]
     assert gangs.settle() == []
 
 
-def part_with(job: JobRecord, entries: list[TaskEntry]) -> tuple[Partition, State]:
-    state = State()
+def part_with(job: JobRecord, entries: list[TaskEntry]) -> tuple[Partition, ClusterState]:
+    state = ClusterState()
     state.put(records.JOB + "job-1", 1, job)
     state.put(str(WHERE), 2, AllocationRecord(entries))
-    part = Partition("a", 1, 10.0, 0.0, lambda ref: None)
+    part = Partition("a", 1, 10.0, 0.0, lambda job_id: None)
     part.take_records(state, list(state.entries), 0.0)
     part.ready = True
     return part, state
@@ -180,10 +182,10 @@
     part, state = part_with(job, [assigned(i) for i in range(4)])
     part.step(part.runs["job-1", 3], Phase.EXITED, wire.REASON_DONE)
     pieces = records.split(WHERE, AllocationRecord([assigned(i) for i in range(4)]), 2)
-    state.committed([Write(str(where), piece) for where, piece in pieces], 9)
-    part.take_records(state, [str(where) for where, _ in pieces], 1.0)
-    run = part.runs["job-1", 3]
-    assert (run.phase, run.where) == (Phase.EXITED, pieces[1][0])
+    state.apply_commit([Write(str(allocation), piece) for allocation, piece in pieces], 9)
+    part.take_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
+    attempt = part.runs["job-1", 3]
+    assert (attempt.phase, attempt.where) == (Phase.EXITED, pieces[1][0])
     assert part.machines["vm-3"].forget == {}
     assert part.ends(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
@@ -216,8 +218,8 @@
     assert [entry for _, piece in pieces for entry in piece.tasks] == entries
     assert all(len(piece.tasks) <= most for _, piece in pieces)
     assert pieces[0][0] == WHERE
-    assert len({str(where) for where, _ in pieces}) == len(pieces)
-    assert all(AllocationKey.parse(str(where)) == where for where, _ in pieces)
+    assert len({str(allocation) for allocation, _ in pieces}) == len(pieces)
+    assert all(AllocationKey.parse(str(allocation)) == allocation for allocation, _ in pieces)
 
 
 def test_while_there_are_gangs_an_earlier_version_owns_nothing() -> None:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -16,7 +16,7 @@
     HistoryRecord,
     packed_key,
 )
-from spurarch.storage.store import Outcome, Verdict
+from spurarch.storage.store import TransactionResult, TransactionStatus
 
 
 def opened(number: int = 1, revision: int = 50) -> HistoryGuard:
@@ -83,8 +83,8 @@
 
 def test_a_transaction_of_a_sealed_history_is_a_loss() -> None:
     guard = opened()
-    outcome = guard.judge(50, Outcome(Verdict.CONFLICT, 51, ["history/open/aa"]), 11.0)
-    assert outcome.verdict is Verdict.CONFLICT
+    result = guard.judge(50, TransactionResult(TransactionStatus.CONFLICT, 51, ["history/open/aa"]), 11.0)
+    assert result.status is TransactionStatus.CONFLICT
     assert guard.phase is HistoryPhase.LOST
 
 
@@ -93,19 +93,27 @@
     guard = opened()
     before = guard.check_open()
     guard.lose("seen elsewhere")
-    assert guard.judge(before, Outcome(Verdict.DONE, 51), 11.0).verdict is Verdict.UNKNOWN
+    assert (
+        guard.judge(before, TransactionResult(TransactionStatus.COMMITTED, 51), 11.0).status
+        is TransactionStatus.UNKNOWN
+    )
 
 
 def test_a_transaction_carried_out_at_a_lower_revision_is_not_confirmed() -> None:
     guard = opened()
-    assert guard.judge(50, Outcome(Verdict.DONE, 4), 11.0).verdict is Verdict.UNKNOWN
+    assert guard.judge(50, TransactionResult(TransactionStatus.COMMITTED, 4), 11.0).status is TransactionStatus.UNKNOWN
     assert guard.phase is HistoryPhase.LOST
 
 
 def test_an_outage_is_no_loss() -> None:
     guard = opened()
-    for verdict in (Verdict.REFUSED, Verdict.UNKNOWN, Verdict.NO_LEASE, Verdict.INVALID):
-        assert guard.judge(50, Outcome(verdict), 11.0).verdict is verdict
+    for verdict in (
+        TransactionStatus.NOT_EXECUTED,
+        TransactionStatus.UNKNOWN,
+        TransactionStatus.NO_LEASE,
+        TransactionStatus.INVALID,
+    ):
+        assert guard.judge(50, TransactionResult(verdict), 11.0).status is verdict
     assert guard.is_open
 
 
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -21,8 +21,8 @@
     ASSIGNED,
     ENDED,
     FREE,
-    IN_DOUBT,
     RETURNED,
+    UNRESOLVED,
     AllocationRecord,
     FinalRecord,
     JobRecord,
@@ -55,7 +55,9 @@
 
 
 def entries(picture: Picture, job: str) -> dict[int, TaskEntry]:
-    return {e.index: e for where, record in picture.allocations.items() if where.job == job for e in record.tasks}
+    return {
+        e.index: e for allocation, record in picture.allocations.items() if allocation.job == job for e in record.tasks
+    }
 
 
 def evidence(*sources: Source, heartbeats: Iterable[wire.Heartbeat] = (), complete: bool = True) -> Evidence:
@@ -133,7 +135,7 @@
     older = source(SourceKind.ARCHIVE, "archive", 6, LIVE)
     newer = source(SourceKind.REPLICA, "n0", 20, {}, since=15)
     picture = merge(evidence(older, newer), CHUNK)
-    assert picture.finals["job-1"].state == IN_DOUBT
+    assert picture.finals["job-1"].state == UNRESOLVED
     assert [d.kind for d in picture.doubts] == [DoubtKind.OUTCOME.value]
     assert picture.uncertain
 
@@ -159,7 +161,7 @@
     one = source(SourceKind.REPLICA, "n0", 9, {"final/job-1": (0, FinalRecord(wire.DONE, 1))})
     other = source(SourceKind.REMAINS, "state service", 9, {"final/job-1": (0, FinalRecord(wire.CANCELLED, 1))})
     picture = merge(evidence(one, other), CHUNK)
-    assert picture.finals["job-1"].state == IN_DOUBT
+    assert picture.finals["job-1"].state == UNRESOLVED
     assert picture.doubts[0].kind == DoubtKind.CONFLICT.value
 
 
@@ -283,7 +285,7 @@
 
 def plain(picture: Picture) -> bytes:
     """A picture in a form that can be compared."""
-    allocations = {str(where): record for where, record in sorted(picture.allocations.items())}
+    allocations = {str(allocation): record for allocation, record in sorted(picture.allocations.items())}
     jobs, finals = dict(sorted(picture.jobs.items())), dict(sorted(picture.finals.items()))
     return msgspec.json.encode([jobs, allocations, finals, picture.doubts, picture.uncertain, picture.set_aside])
 
@@ -359,7 +361,9 @@
         ),
     }
     once = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live)), CHUNK)
-    content: dict[str, tuple[int, Any]] = {str(where): (9, record) for where, record in once.allocations.items()}
+    content: dict[str, tuple[int, Any]] = {
+        str(allocation): (9, record) for allocation, record in once.allocations.items()
+    }
     content |= {job_key(job): (9, record) for job, record in once.jobs.items()}
     twice = merge(evidence(source(SourceKind.REPLICA, "n0", 9, content)), CHUNK)
     assert {i: e.state for i, e in entries(twice, "job-1").items()} == {
@@ -406,7 +410,7 @@
         picture = merge(self.evidence, CHUNK)
         assert plain(merge(self.evidence, CHUNK)) == plain(picture)
         for job, final in picture.finals.items():
-            if final.state != IN_DOUBT:
+            if final.state != UNRESOLVED:
                 assert self.finals.setdefault(job, final) == final
         for job, final in self.finals.items():
             assert picture.finals[job] == final
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -10,7 +10,7 @@
 from spurarch.storage.limits import Urgency
 from spurarch.storage.replica import Replica
 from spurarch.storage.seeds import PackedSeed
-from spurarch.storage.store import Outcome
+from spurarch.storage.store import TransactionResult
 from tests.sim.recovery import RecoveryPlay
 from tests.sim.scenario_text import Scenario
 
@@ -53,7 +53,7 @@
     unpacked: list[str] = []
     unpack = Replica._unpack
 
-    async def counted(self: Replica, packed: PackedSeed, urgency: Urgency) -> Outcome:
+    async def counted(self: Replica, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
         unpacked.append(packed.key)
         return await unpack(self, packed, urgency)
 
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -35,7 +35,7 @@
     """
     fleet = Fleet(3)
     machines = [fleet.partition.machines["vm-0"], fleet.partition.machines["vm-1"]]
-    runs = [dict(machine.runs) for machine in machines]
+    attempts = [dict(machine.runs) for machine in machines]
     released: list[str] = []
     for machine in machines:
         machine.runs.clear()
@@ -45,7 +45,7 @@
         return True
 
     async def close(part: object, idle: object) -> bool:
-        machines[1].runs.update(runs[1])
+        machines[1].runs.update(attempts[1])
         return True
 
     async def release(names: list[str], still: object) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,9 +25,9 @@
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
-from spurarch.storage.limits import lend
+from spurarch.storage.limits import borrowed_share
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, MachineRecord, TaskEntry
-from spurarch.storage.replica import State
+from spurarch.storage.replica import ClusterState
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
 
@@ -51,9 +51,9 @@
     return count
 
 
-def submission(ref: str, tasks: int) -> wire.Submission:
+def submission(job_id: str, tasks: int) -> wire.Submission:
     return wire.Submission(
-        ref,
+        job_id,
         "c",
         "t",
         wire.BATCH,
@@ -77,7 +77,7 @@
     """A part with machines that all run tasks of one job each, as its owner and everybody's view see it."""
 
     def __init__(self, machines: int) -> None:
-        self.state = State()
+        self.state = ClusterState()
         self.view = FleetView(self.state, [Team("t")])
         self.view.set_offers([wire.MachineType("big", 32.0, 0.0, 128.0, 1.0, 0.5, 30.0, ["a"])])
         self.partition = Partition("a", 1, 10.0, 0.0, lambda job: 0)
@@ -194,8 +194,8 @@
         key = str(AllocationKey("a", "job-0", 0))
         fleet.put(key, AllocationRecord(entries))
         fleet.news([key])
-        for run in list(fleet.partition.runs.values())[:ended]:
-            fleet.partition.step(run, Phase.EXITED, wire.REASON_DONE)
+        for attempt in list(fleet.partition.runs.values())[:ended]:
+            fleet.partition.step(attempt, Phase.EXITED, wire.REASON_DONE)
         assert fleet.partition.ends(fleet.state, 3.0) == {}
         costs.append(calls(lambda f=fleet: f.partition.ends(f.state, 3.0)))  # type: ignore[misc]
     assert costs[0] == costs[1]
@@ -397,7 +397,7 @@
     for kind in (0, 1):
         assert abs(sum(s[kind] for s in shares.values()) - 1.0) < 1e-9
     writes = {n: s[1] for n, s in shares.items()}
-    lent = {n: lend(n, writes, used, hungry) for n in NODES}
+    lent = {n: borrowed_share(n, writes, used, hungry) for n in NODES}
     assert sum(lent.values()) <= 1.0 + 1e-9
     assert all(lent[n] >= writes[n] - 1e-9 for n in hungry)
     assert all(lent[n] > 0 for n in NODES)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,7 +9,7 @@
 from spurarch.settings import StateLimits
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, TaskEntry
-from spurarch.storage.replica import Replica, State, Write
+from spurarch.storage.replica import ClusterState, Replica, Write
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
 from tests.test_scale import Answering, submission
@@ -23,8 +23,8 @@
 
 
 def test_own_commit_known_before_the_watch_brings_it() -> None:
-    state = State()
-    state.committed([Write(KEY, record(1))], 5)
+    state = ClusterState()
+    state.apply_commit([Write(KEY, record(1))], 5)
     assert state.version(KEY) == 5
     state.put(KEY, 5, record(1))
     state.advance(5)
@@ -33,19 +33,19 @@
 
 def test_answer_after_the_watch_does_not_revive_a_deleted_key() -> None:
     """Our write at 5 and another controller's deletion at 6 arrive by watch before the answer to our write."""
-    state = State()
+    state = ClusterState()
     state.put(KEY, 5, record(1))
-    state.drop(KEY, 6)
+    state.delete(KEY, 6)
     state.advance(6)
-    state.committed([Write(KEY, record(1))], 5)
+    state.apply_commit([Write(KEY, record(1))], 5)
     assert state.version(KEY) == 0
     assert "job-1" not in state.allocations
 
 
 def test_old_news_do_not_revive_what_we_deleted() -> None:
-    state = State()
+    state = ClusterState()
     state.put(KEY, 3, record(1))
-    state.committed([Write(KEY, None)], 9)
+    state.apply_commit([Write(KEY, None)], 9)
     state.put(KEY, 7, record(2))  # older than the deletion, brought by a slower watch
     assert state.version(KEY) == 0
     state.put(KEY, 11, record(3))
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -163,8 +163,10 @@
     view, audit = fleet.view, LedgerAudit(fleet.view)
     audit.check_all()
     assert view.ledger.violations.count == 0
-    where = AllocationKey("a", "job-1", 0)
-    view._count(where, view.jobs["job-1"], view._booked.pop(where), -1)  # what the former table did with a new job
+    allocation = AllocationKey("a", "job-1", 0)
+    view._count(
+        allocation, view.jobs["job-1"], view._booked.pop(allocation), -1
+    )  # what the former table did with a new job
     view.ledger.change(0, Charge.of(-3.0, 0.0))
     audit.check_all()
     assert "job-1 is charged with 0 tasks, and has 3 on record" in view.ledger.violations.texts[0]
@@ -216,14 +218,14 @@
 
 def test_an_allocation_that_is_read_before_its_job_is_charged_with_it() -> None:
     fleet = Fleet(0)
-    where = AllocationKey("a", "job-1", 0)
-    fleet.put(str(where), Fleet.allot(1, records.ASSIGNED))
+    allocation = AllocationKey("a", "job-1", 0)
+    fleet.put(str(allocation), Fleet.allot(1, records.ASSIGNED))
     fleet.view.update()
     assert fleet.view.ledger.recorded(0) == NOTHING
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", 4), 0.0))
     fleet.view.update()
     assert fleet.view.ledger.recorded(0) == Charge.of(4.0, 0.0)
-    fleet.state.drop(str(where), fleet.state.revision + 1)
+    fleet.state.delete(str(allocation), fleet.state.revision + 1)
     fleet.view.update()
     assert fleet.view.ledger.recorded(0) == NOTHING
     assert not fleet.view._jobless
@@ -231,10 +233,10 @@
 
 def test_allocations_of_jobs_that_are_over_are_not_kept_for_ever() -> None:
     fleet = Fleet(0)
-    where = AllocationKey("a", "job-1", 0)
-    fleet.put(str(where), Fleet.allot(1, records.ENDED))
+    allocation = AllocationKey("a", "job-1", 0)
+    fleet.put(str(allocation), Fleet.allot(1, records.ENDED))
     fleet.view.update()
-    fleet.state.drop(str(where), fleet.state.revision + 1)
+    fleet.state.delete(str(allocation), fleet.state.revision + 1)
     fleet.view.update()
     assert not fleet.view._jobless
 
@@ -242,12 +244,12 @@
 def two_teams() -> tuple[Replica, Any]:
     """A copy with a job of each of two teams, and its view."""
     replica = Replica(Store(Answering(), StateLimits(100.0, 100.0, 16.0, 24), 1))
-    replica.state.whole_from = 0
+    replica.state.consistent_from = 0
     view = FleetView(replica.state, [Team("t", cpus_max=8.0), Team("other", cpus_max=8.0)])
-    for ref, team in (("job-1", "t"), ("job-2", "other")):
-        spec = submission(ref, 4)
+    for job_id, team in (("job-1", "t"), ("job-2", "other")):
+        spec = submission(job_id, 4)
         spec.team = team
-        replica._take(f"{records.JOB}{ref}", 1, msgspec.Raw(msgspec.json.encode(JobRecord(spec, 0.0))))
+        replica._apply_value(f"{records.JOB}{job_id}", 1, msgspec.Raw(msgspec.json.encode(JobRecord(spec, 0.0))))
     view.update()
     return replica, view
 
@@ -270,13 +272,13 @@
     replica, view = two_teams()
     with caplog.at_level(logging.ERROR):
         for version in (2, 3):
-            replica._take(key, version, msgspec.Raw(value))
+            replica._apply_value(key, version, msgspec.Raw(value))
             view.update()
     assert len([line for line in caplog.messages if "unreadable record" in line]) == 1
     mine, other = (view.teams.index(name) for name in ("t", "other"))
     assert view.ledger.tasks_allowed(mine, ONE, 5) == 0
     assert view.ledger.tasks_allowed(other, ONE, 5) == 5
-    replica.state.drop(key, 4)
+    replica.state.delete(key, 4)
     view.update()
     assert view.ledger.tasks_allowed(mine, ONE, 5) == 5
 
@@ -284,11 +286,11 @@
 def test_a_readable_record_in_the_place_of_an_unreadable_one_is_charged() -> None:
     replica, view = two_teams()
     key = str(AllocationKey("a", "job-1", 0))
-    replica._take(key, 2, msgspec.Raw(b"7"))
+    replica._apply_value(key, 2, msgspec.Raw(b"7"))
     view.update()
     record = AllocationRecord([TaskEntry(n) for n in range(3)])
-    replica._take(key, 3, msgspec.Raw(msgspec.json.encode(record)))
-    replica._take(f"{records.ADMISSION}job-1", 3, msgspec.Raw(msgspec.json.encode(AdmissionRecord(3, 1))))
+    replica._apply_value(key, 3, msgspec.Raw(msgspec.json.encode(record)))
+    replica._apply_value(f"{records.ADMISSION}job-1", 3, msgspec.Raw(msgspec.json.encode(AdmissionRecord(3, 1))))
     view.update()
     assert view.ledger.tasks_allowed(view.teams.index("t"), ONE, 9) == 5
 
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -77,17 +77,17 @@
     """What broke on a day. Services end at its end, so that all that waits for their team's limit can run."""
     jobs = [line.split()[3] for line in (BASE + text).splitlines() if " submit " in line]
     services = [line.split()[3] for line in (BASE + text).splitlines() if "kind=daemon" in line]
-    late = "\n".join(f"at {DAY_S + 15} cancel {ref}" for ref in services if ref != "job-1")
+    late = "\n".join(f"at {DAY_S + 15} cancel {job_id}" for job_id in services if job_id != "job-1")
     scenario = Scenario.parse(f"{BASE}{text}\n{late}\n", {})
     scenario.end = last_trouble(scenario) + QUIET_S
     played = Play(scenario)
     played.run()
-    last = {ref: played.told.get(ref, ["nothing"])[-1] for ref in jobs if ref != "job-1"}
-    refused = {ref for ref in last if beyond_limit(played.world.jobs[ref])}
+    last = {job_id: played.told.get(job_id, ["nothing"])[-1] for job_id in jobs if job_id != "job-1"}
+    refused = {job_id for job_id in last if beyond_limit(played.world.jobs[job_id])}
     wrong = [
-        f"{ref} is left: {state}"
-        for ref, state in last.items()
-        if state not in (("422",) if ref in refused else ("done", "aborted"))
+        f"{job_id} is left: {state}"
+        for job_id, state in last.items()
+        if state not in (("422",) if job_id in refused else ("done", "aborted"))
     ]
     return played.problems + wrong
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -110,7 +110,7 @@
 def test_a_rate_falls_at_once_and_no_further_than_announced() -> None:
     factor = AdaptiveFactor(0.7, 0.7, 0.02)
     for _ in range(5):
-        factor.refused()
+        factor.decrease()
     assert factor.value == 0.7
     for _ in range(10):
         factor.recover()
