--- a/spurarch/coordination/admission_writer.py
+++ b/spurarch/coordination/admission_writer.py
@@ -9,7 +9,7 @@
 import curio
 
 from spurarch.coordination.admission import Grant
-from spurarch.coordination.allocation_changes import live
+from spurarch.coordination.allocation_changes import is_live
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.team_ledger import Reservation
 from spurarch.coordination.view import FleetView
@@ -124,7 +124,7 @@
 
     def _change(self, job_id: str, grants: list[Grant], planned: dict[str, int]) -> JobAdmission | None:
         """What the admission of one job writes; None if its plan does not stand any more."""
-        if not live(self.replica.state, job_id) or not self._stands(job_id, grants, planned):
+        if not is_live(self.replica.state, job_id) or not self._stands(job_id, grants, planned):
             return None
         return self._job_admission(job_id, grants)
 
--- a/spurarch/coordination/allocation_changes.py
+++ b/spurarch/coordination/allocation_changes.py
@@ -7,23 +7,30 @@
 from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry
 from spurarch.storage.replica import ClusterState
 
-SAVE_FACTOR, SAVE_MARGIN_S = 1.5, 1.0  # the time that a task is given to save, from what its owner says it takes
+CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = (
+    1.5,
+    1.0,
+)  # the time that a task is given to save, from what its owner says it takes
 
 
-def live(state: ClusterState, job: str) -> bool:
+def is_live(state: ClusterState, job: str) -> bool:
     """The job is on record and not cancelled."""
     record: JobRecord | None = state.jobs.get(job)
     return record is not None and not record.cancelled
 
 
-def save_grace_s(spec: wire.Submission) -> float:
+def checkpoint_grace_s(spec: wire.Submission) -> float:
     """How long a task that is told to leave gets to save its progress; 0 if it never saves."""
-    return spec.checkpoint_duration_s * SAVE_FACTOR + SAVE_MARGIN_S if spec.checkpoint_interval_s > 0 else 0.0
+    return (
+        spec.checkpoint_duration_s * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_MARGIN_S
+        if spec.checkpoint_interval_s > 0
+        else 0.0
+    )
 
 
 def is_live_gang(state: ClusterState, job: str) -> bool:
     """The job is on record, not cancelled, and its tasks start together."""
-    return live(state, job) and state.jobs[job].spec.kind == wire.GANG
+    return is_live(state, job) and state.jobs[job].spec.kind == wire.GANG
 
 
 _BEFORE = {
@@ -45,7 +52,9 @@
     return entry.state in _BEFORE[new.state] and new.attempt == entry.attempt
 
 
-def merged(record: AllocationRecord, changes: dict[int, TaskEntry], gang: bool = False) -> AllocationRecord | None:
+def merge_changes(
+    record: AllocationRecord, changes: dict[int, TaskEntry], gang: bool = False
+) -> AllocationRecord | None:
     """A copy of an allocation with some entries replaced, as far as they still are what the change was decided for.
 
     Members of a gang are given machines together, so one whose entry has changed keeps the others from it.
--- a/spurarch/coordination/command_sender.py
+++ b/spurarch/coordination/command_sender.py
@@ -45,17 +45,21 @@
     async def send(self, owned: OwnedPartition) -> None:
         """Sends what the partition's machines have to be told; their next reports repeat what got lost."""
         partition, now = owned.partition, time.monotonic()
-        if not partition.attention or not self._permissions.commands(now):
+        if not partition.machines_needing_commands or not self._permissions.commands(now):
             return
-        for name in list(partition.attention):
+        for name in list(partition.machines_needing_commands):
             machine = partition.machines.get(name)
             if machine is None or not partition.needs_command(machine):
-                del partition.attention[name]
+                del partition.machines_needing_commands[name]
                 continue
-            quiet = now - (machine.heard_at or now) > self._silent_s
-            if machine.direct_after > now or name in self._in_line or (quiet and name not in partition.revoking):
+            quiet = now - (machine.last_heartbeat_at or now) > self._silent_s
+            if (
+                machine.next_command_at > now
+                or name in self._in_line
+                or (quiet and name not in partition.machines_with_cancelled_tasks)
+            ):
                 continue  # one that is silent would only keep a connection from others
-            machine.direct_after = now + (QUIET_PAUSE_S if quiet else AGAIN_S)
+            machine.next_command_at = now + (QUIET_PAUSE_S if quiet else AGAIN_S)
             self._in_line.add(name)
             await curio.spawn(self._direct, owned, machine, daemon=True)
 
@@ -72,7 +76,7 @@
             self._in_line.discard(machine.name)
             now = time.monotonic()
             if self._permissions.owns(owned.partition) and self._permissions.commands(now):
-                sent = owned.partition.direct(machine)
+                sent = owned.partition.direct_commands(machine)
                 if sent is not None:
                     await self._command(owned, machine, sent)
 
@@ -82,7 +86,7 @@
             status, answer = await client.request("POST", wire.PATH_COMMANDS, wire.encode(sent), DIRECT_S)
         except NoAnswerError as err:
             log.debug("no answer from %s: %s", machine.name, err)
-            partition.direct_lost(machine, sent, err.sent)
+            partition.on_direct_failure(machine, sent, err.sent)
             return
         heartbeat = None
         if status in (200, 409):
@@ -90,6 +94,6 @@
                 heartbeat = wire.heartbeat_decoder.decode(answer)
             except msgspec.DecodeError as err:
                 log.warning("unreadable answer from %s: %s", machine.name, err)
-        partition.direct_answered(machine, sent, heartbeat, time.monotonic())
-        if partition.over:
+        partition.on_direct_response(machine, sent, heartbeat, time.monotonic())
+        if partition.terminal_attempts:
             await owned.wakeup.set()
--- a/spurarch/coordination/failures.py
+++ b/spurarch/coordination/failures.py
@@ -13,7 +13,7 @@
 
 FAULTS_BEFORE_PAUSE = 2
 FAULT_PAUSE_S = 30.0
-MACHINES_BLAMED = 2  # a job without a success that fails on so many is faulty itself
+FAULTY_JOB_MACHINES = 2  # a job without a success that fails on so many is faulty itself
 REFUSAL_PAUSE_S = 2.0
 BACK_OFF_FIRST_S, BACK_OFF_MOST_S, BACK_OFF_DOUBLINGS = 0.25, 30.0, 8
 
@@ -24,54 +24,54 @@
 
     failures: int = 0
     not_before: float = 0.0
-    good: bool = False  # a task of it has completed
+    has_completed_task: bool = False  # a task of it has completed
     machines: set[str] = field(default_factory=set)  # where it failed
-    blamed: dict[str, int] = field(default_factory=dict)  # failures of it that were put down to a machine
+    failures_by_machine: dict[str, int] = field(default_factory=dict)  # failures of it that were put down to a machine
 
-    def back_off(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """One more failure: the next try waits longer."""
         self.failures += 1
         self.not_before = now + min(BACK_OFF_MOST_S, BACK_OFF_FIRST_S * 2 ** min(self.failures, BACK_OFF_DOUBLINGS))
 
 
-class FailureJudge:
+class FailureAttribution:
     """Tells faulty machines from faulty jobs, in one partition."""
 
     def __init__(self, machines: dict[str, Machine]) -> None:
         self._machines = machines
         self.backoffs: dict[str, JobBackoff] = defaultdict(JobBackoff)
 
-    def judge(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+    def record_exit(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         """Learns from the way a task ended."""
-        backoff = self.backoffs[attempt.where.job]
-        if attempt.why == wire.REASON_ERROR:
-            self._blame(machine, backoff)
-            backoff.back_off(now)
-            log.info("task %s/%d failed on %s (attempt %d)", *attempt.key, machine.name, attempt.attempt)
-            if machine.failures >= FAULTS_BEFORE_PAUSE:
-                machine.avoid_until = now + FAULT_PAUSE_S * machine.failures
-        elif attempt.why in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
-            machine.pause_until = now + REFUSAL_PAUSE_S
-        elif attempt.why == wire.REASON_UNKNOWN_TASK:
-            backoff.back_off(now)
-        elif attempt.why == wire.REASON_DONE:
-            backoff.failures, backoff.good = 0, True
-            machine.failures = 0
+        backoff = self.backoffs[attempt.allocation.job]
+        if attempt.exit_reason == wire.REASON_ERROR:
+            self._attribute_to_machine(machine, backoff)
+            backoff.record_failure(now)
+            log.info("task %s/%d failed on %s (attempt %d)", *attempt.key, machine.name, attempt.number)
+            if machine.task_failures >= FAULTS_BEFORE_PAUSE:
+                machine.quarantined_until = now + FAULT_PAUSE_S * machine.task_failures
+        elif attempt.exit_reason in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
+            machine.backoff_until = now + REFUSAL_PAUSE_S
+        elif attempt.exit_reason == wire.REASON_UNKNOWN_TASK:
+            backoff.record_failure(now)
+        elif attempt.exit_reason == wire.REASON_DONE:
+            backoff.failures, backoff.has_completed_task = 0, True
+            machine.task_failures = 0
 
-    def _blame(self, machine: Machine, backoff: JobBackoff) -> None:
+    def _attribute_to_machine(self, machine: Machine, backoff: JobBackoff) -> None:
         backoff.machines.add(machine.name)
-        if backoff.good or len(backoff.machines) < MACHINES_BLAMED:
-            machine.failures += 1
-            backoff.blamed[machine.name] = backoff.blamed.get(machine.name, 0) + 1
+        if backoff.has_completed_task or len(backoff.machines) < FAULTY_JOB_MACHINES:
+            machine.task_failures += 1
+            backoff.failures_by_machine[machine.name] = backoff.failures_by_machine.get(machine.name, 0) + 1
         else:
-            self._forgive(backoff)
+            self._clear_attributed_failures(backoff)
 
-    def _forgive(self, backoff: JobBackoff) -> None:
+    def _clear_attributed_failures(self, backoff: JobBackoff) -> None:
         """A job that fails wherever it is put says nothing of the machines, nor did its failures before it showed."""
-        for name, failures in backoff.blamed.items():
+        for name, failures in backoff.failures_by_machine.items():
             machine = self._machines.get(name)
             if machine is not None:
-                machine.failures = max(0, machine.failures - failures)
-                if machine.failures < FAULTS_BEFORE_PAUSE:
-                    machine.avoid_until = 0.0
-        backoff.blamed.clear()
+                machine.task_failures = max(0, machine.task_failures - failures)
+                if machine.task_failures < FAULTS_BEFORE_PAUSE:
+                    machine.quarantined_until = 0.0
+        backoff.failures_by_machine.clear()
--- a/spurarch/coordination/gang.py
+++ b/spurarch/coordination/gang.py
@@ -16,7 +16,7 @@
 import logging
 from collections.abc import Iterable
 
-from spurarch.coordination.machine import Phase, TaskAttempt
+from spurarch.coordination.machine import AttemptPhase, TaskAttempt
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
@@ -57,9 +57,11 @@
 class GangAttempt:
     """The newest attempt of one gang, as its partition's owner knows it from records and reports."""
 
-    def __init__(self, job: str, size: int, save_grace_s: float) -> None:
+    def __init__(self, job: str, size: int, checkpoint_grace_s: float) -> None:
         self.job, self.size = job, size
-        self.save_grace_s = save_grace_s  # how long members get to save when they are told to leave; 0: they never save
+        self.checkpoint_grace_s = (
+            checkpoint_grace_s  # how long members get to save when they are told to leave; 0: they never save
+        )
         self.state = GangState.WAITING
         self.attempt = 0  # the highest number on record
         self.members: dict[int, TaskAttempt] = {}  # by index, those with a machine
@@ -67,7 +69,7 @@
 
     # Records and reports coming in
 
-    def record(self, allocation: AllocationKey, entries: list[TaskEntry] | None) -> None:
+    def apply_record(self, allocation: AllocationKey, entries: list[TaskEntry] | None) -> None:
         """Takes one allocation record in, or its removal."""
         if entries is None:
             self._entries.pop(allocation, None)
@@ -75,7 +77,7 @@
             self._entries[allocation] = entries
             self.attempt = max([self.attempt, *(entry.attempt for entry in entries)])
 
-    def settle(self) -> None:
+    def update_state(self) -> None:
         """Works the state out again after records or members have changed."""
         state = self._observed()
         if state is self.state:
@@ -91,27 +93,27 @@
             return GangState.ENDED
         if not members:
             return GangState.WAITING
-        if self._over():
+        if self._is_broken():
             return GangState.STOPPING
         if len(self.members) < self.size:
             return GangState.ASSIGNING
         phases = {member.phase for member in members}
-        if Phase.RUNNING in phases:
+        if AttemptPhase.RUNNING in phases:
             return GangState.RUNNING
-        if Phase.GATHERING in phases:
+        if AttemptPhase.GATHERING in phases:
             return GangState.GATHERING
         return GangState.STARTING
 
     def _completed(self) -> bool:
-        if any(member.why == wire.REASON_DONE for member in self.members.values()):
+        if any(member.exit_reason == wire.REASON_DONE for member in self.members.values()):
             return True
         return any(entry.state == records.ENDED for entry in self._all_entries())
 
-    def _over(self) -> bool:
+    def _is_broken(self) -> bool:
         """A member has left, is leaving, or was started under another number than the rest."""
-        if any(member.stop or member.phase >= Phase.STOPPING for member in self.members.values()):
+        if any(member.stop_requested or member.phase >= AttemptPhase.STOPPING for member in self.members.values()):
             return True
-        if any(member.attempt != self.attempt for member in self.members.values()):
+        if any(member.number != self.attempt for member in self.members.values()):
             return True
         # One that is free under the newest number has been on a machine under it, and left.
         return any(e.state != records.ASSIGNED and e.attempt >= self.attempt for e in self._all_entries())
@@ -146,19 +148,19 @@
 
     def to_stop(self) -> list[TaskAttempt]:
         """Members that have to be told to leave because of what became of the others."""
-        staying = [m for m in self.members.values() if not m.stop and m.phase < Phase.STOPPING]
+        staying = [m for m in self.members.values() if not m.stop_requested and m.phase < AttemptPhase.STOPPING]
         if self.state is GangState.STOPPING:
             return staying
         if self.state is GangState.ENDED:
             # These can't be found to have completed by waiting: nobody may ever have started them here.
-            return [member for member in staying if member.phase < Phase.RUNNING]
+            return [member for member in staying if member.phase < AttemptPhase.RUNNING]
         return []
 
     def grace_s(self) -> float:
         """How long members get to save. All save or none does, so there is nothing to save once one has left."""
-        if any(member.phase >= Phase.EXITED for member in self.members.values()):
+        if any(member.phase >= AttemptPhase.EXITED for member in self.members.values()):
             return 0.0
-        asked = [member.grace_s for member in self.members.values() if member.stop]
+        asked = [member.grace_s for member in self.members.values() if member.stop_requested]
         return min(asked, default=0.0)
 
 
@@ -173,15 +175,15 @@
         """A gang by its job."""
         return self._attempts.get(job)
 
-    def track(self, job: str, size: int, save_grace_s: float = 0.0) -> GangAttempt:
+    def track(self, job: str, size: int, checkpoint_grace_s: float = 0.0) -> GangAttempt:
         """A gang, new or known; whoever asks is about to change it."""
         gang = self._attempts.get(job)
         if gang is None:
-            gang = self._attempts[job] = GangAttempt(job, size, save_grace_s)
+            gang = self._attempts[job] = GangAttempt(job, size, checkpoint_grace_s)
         self._changed[job] = None
         return gang
 
-    def note(self, job: str) -> None:
+    def mark_changed(self, job: str) -> None:
         """Something happened to a task; if it is a gang's, the gang has to be settled."""
         if job in self._attempts:
             self._changed[job] = None
@@ -191,13 +193,13 @@
         self._attempts.pop(job, None)
         self._changed.pop(job, None)
 
-    def settle(self) -> list[tuple[TaskAttempt, float]]:
+    def members_to_stop(self) -> list[tuple[TaskAttempt, float]]:
         """Settles what has changed; returns members to be stopped, and how long each gets to save."""
         out: list[tuple[TaskAttempt, float]] = []
         while self._changed:
             gang = self._attempts[next(iter(self._changed))]
             del self._changed[gang.job]
-            gang.settle()
+            gang.update_state()
             grace_s = gang.grace_s()
             out += [(member, grace_s) for member in gang.to_stop()]
         return out
--- a/spurarch/coordination/local_search.py
+++ b/spurarch/coordination/local_search.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from spurarch.coordination.best_fit import Room, best_fit
-from spurarch.coordination.machine import Phase, Standing, TaskAttempt
+from spurarch.coordination.machine import AttemptPhase, MachineState, TaskAttempt
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.tabu import Replica, Search, SearchResult, Weights
 from spurarch.coordination.view import FleetView
@@ -30,17 +30,24 @@
     A replica without work to go back to stays while its job is cancelled; one replica of a service moves at a time.
     """
     stopping = {
-        attempt.where.job for attempt in partition.runs.values() if attempt.stop or attempt.phase is not Phase.RUNNING
+        attempt.allocation.job
+        for attempt in partition.attempts.values()
+        if attempt.stop_requested or attempt.phase is not AttemptPhase.RUNNING
     }
     moved: set[str] = set()
     out = set()
-    for key, attempt in partition.runs.items():
-        job_view = view.jobs.get(attempt.where.job)
-        if job_view is None or not job_view.service or attempt.where.job in stopping or attempt.where.job in moved:
+    for key, attempt in partition.attempts.items():
+        job_view = view.jobs.get(attempt.allocation.job)
+        if (
+            job_view is None
+            or not job_view.service
+            or attempt.allocation.job in stopping
+            or attempt.allocation.job in moved
+        ):
             continue
         if job_view.assigned - 1 >= floor(job_view.tasks * tuning.service_minimum):
             out.add(key)
-            moved.add(attempt.where.job)  # one at a time
+            moved.add(attempt.allocation.job)  # one at a time
     return out
 
 
@@ -50,9 +57,9 @@
     """One round of a part."""
     out = Refinement()
     names, rooms, tasks, attempts = _tables(partition, view, tuning)
-    if tuning.consolidation_cap > 0 and not partition.free:
+    if tuning.consolidation_cap > 0 and not partition.unassigned:
         out.empty = _to_empty(partition, names, rooms, tasks, tuning, now)
-    emptying = frozenset(i for i, name in enumerate(names) if partition.machines[name].emptying or name == out.empty)
+    emptying = frozenset(i for i, name in enumerate(names) if partition.machines[name].draining or name == out.empty)
     if out.empty is not None:
         out.moves += _move_off(names, rooms, tasks, attempts, names.index(out.empty), emptying, tuning)
     if any(t.movable for t in tasks) and len(out.moves) < tuning.moves_per_round:
@@ -80,24 +87,24 @@
     for room in view.zone_rooms[view.zones.index(partition.zone)].values():
         name = view.machines.name(room.machine)
         machine = partition.machines.get(name)
-        if machine is not None and machine.standing is Standing.KNOWN and not machine.returning:
+        if machine is not None and machine.state is MachineState.ACTIVE and not machine.releasing:
             names.append(name)
             copy = room.copy()
             # The records only say that a task with the image was sent there; it may never have been fetched whole.
-            copy.images = machine.images
+            copy.images = machine.cached_images
             rooms.append(copy)
     index = {name: i for i, name in enumerate(names)}
     free_to_move = movable(partition, view, tuning)
     tasks: list[Replica] = []
     attempts: list[TaskAttempt] = []
-    for key, attempt in partition.runs.items():
-        job = view.jobs.get(attempt.where.job)
-        if job is not None and attempt.machine in index and attempt.phase < Phase.EXITED:
+    for key, attempt in partition.attempts.items():
+        job = view.jobs.get(attempt.allocation.job)
+        if job is not None and attempt.machine in index and attempt.phase < AttemptPhase.EXITED:
             at = index[attempt.machine]
             tasks.append(Replica(len(attempts), job.need, at, at, key in free_to_move, job.service or job.gang))
             attempts.append(attempt)
     for i, name in enumerate(names):
-        if not partition.machines[name].open:
+        if not partition.machines[name].schedulable:
             rooms[i].free_cpus = -1.0  # takes nothing
     return names, rooms, tasks, attempts
 
@@ -106,7 +113,7 @@
     partition: Partition, names: list[str], rooms: list[Room], tasks: list[Replica], tuning: Tuning, now: float
 ) -> str | None:
     """The least booked machine, if all that must leave it may, and the rest stays under the cap of booked CPU."""
-    open_rooms = [i for i, name in enumerate(names) if partition.machines[name].usable(now)]
+    open_rooms = [i for i, name in enumerate(names) if partition.machines[name].is_schedulable(now)]
     booked = sum(rooms[i].cpus - rooms[i].free_cpus for i in open_rooms)
     total = sum(rooms[i].cpus for i in open_rooms)
     owned: dict[int, list[Replica]] = {}
--- a/spurarch/coordination/machine.py
+++ b/spurarch/coordination/machine.py
@@ -18,7 +18,7 @@
 LEASE_MARGIN_S = 0.5
 
 
-class Phase(enum.IntEnum):
+class AttemptPhase(enum.IntEnum):
     """Where a task stands on its machine."""
 
     ASSIGNED = 0  # recorded; no command has been sent by this process
@@ -31,16 +31,29 @@
     GONE = 7  # proved to be off its machine; that is not recorded yet
 
 
-_SEEN = {Phase.FETCHING, Phase.GATHERING, Phase.RUNNING, Phase.STOPPING, Phase.EXITED, Phase.GONE}
+_SEEN = {
+    AttemptPhase.FETCHING,
+    AttemptPhase.GATHERING,
+    AttemptPhase.RUNNING,
+    AttemptPhase.STOPPING,
+    AttemptPhase.EXITED,
+    AttemptPhase.GONE,
+}
 _NEXT = {
-    Phase.ASSIGNED: {Phase.STARTING} | _SEEN,
-    Phase.STARTING: _SEEN,
-    Phase.FETCHING: {Phase.GATHERING, Phase.RUNNING, Phase.STOPPING, Phase.EXITED, Phase.GONE},
-    Phase.GATHERING: {Phase.RUNNING, Phase.STOPPING, Phase.EXITED, Phase.GONE},
-    Phase.RUNNING: {Phase.FETCHING, Phase.STOPPING, Phase.EXITED, Phase.GONE},
-    Phase.STOPPING: {Phase.EXITED, Phase.GONE},
-    Phase.EXITED: set(),
-    Phase.GONE: set(),
+    AttemptPhase.ASSIGNED: {AttemptPhase.STARTING} | _SEEN,
+    AttemptPhase.STARTING: _SEEN,
+    AttemptPhase.FETCHING: {
+        AttemptPhase.GATHERING,
+        AttemptPhase.RUNNING,
+        AttemptPhase.STOPPING,
+        AttemptPhase.EXITED,
+        AttemptPhase.GONE,
+    },
+    AttemptPhase.GATHERING: {AttemptPhase.RUNNING, AttemptPhase.STOPPING, AttemptPhase.EXITED, AttemptPhase.GONE},
+    AttemptPhase.RUNNING: {AttemptPhase.FETCHING, AttemptPhase.STOPPING, AttemptPhase.EXITED, AttemptPhase.GONE},
+    AttemptPhase.STOPPING: {AttemptPhase.EXITED, AttemptPhase.GONE},
+    AttemptPhase.EXITED: set(),
+    AttemptPhase.GONE: set(),
 }
 
 
@@ -48,51 +61,51 @@
 class TaskAttempt:
     """A task that the records assign to a machine."""
 
-    where: AllocationKey
+    allocation: AllocationKey
     index: int
-    attempt: int
+    number: int
     machine: str
-    session: int
-    since: float
-    phase: Phase = Phase.ASSIGNED
-    why: str | None = None
-    stop: bool = False  # it has to leave its machine
+    incarnation: int
+    assigned_at: float
+    phase: AttemptPhase = AttemptPhase.ASSIGNED
+    exit_reason: str | None = None
+    stop_requested: bool = False  # it has to leave its machine
     grace_s: float = 0.0
-    stop_heard_at: float | None = None  # when the worker confirmed that it was told to save and leave
-    sent_seq: int = -1  # the start was handed to the worker no later than its message with this number
+    stop_acknowledged_at: float | None = None  # when the worker confirmed that it was told to save and leave
+    start_sent_seq: int = -1  # the start was handed to the worker no later than its message with this number
     running_at: float | None = None
-    over_at: float = 0.0  # when its end was proved
-    revoked_at: float | None = None  # its job was cancelled then, so far as is known
+    terminated_at: float = 0.0  # when its end was proved
+    job_cancelled_at: float | None = None  # its job was cancelled then, so far as is known
 
     @property
     def key(self) -> tuple[str, int]:
         """Job and index."""
-        return self.where.job, self.index
+        return self.allocation.job, self.index
 
-    def advance(self, phase: Phase, why: str | None = None) -> bool:
+    def transition(self, phase: AttemptPhase, why: str | None = None) -> bool:
         """Changes the phase if that is a step a task can take; anything else is old news."""
         if phase not in _NEXT[self.phase]:
             return False
         self.phase = phase
-        if phase is Phase.EXITED:
-            self.why = why
+        if phase is AttemptPhase.EXITED:
+            self.exit_reason = why
         return True
 
 
-class Standing(enum.Enum):
+class MachineState(enum.Enum):
     """Where a machine stands."""
 
-    UNKNOWN = "unknown"  # on record, or reporting, but it has not yet shown a token of ours
-    KNOWN = "known"
-    LOST = "lost"  # silent for so long that its worker's lease has certainly run out
-    GONE = "gone"  # the cloud confirmed its return
+    UNCONFIRMED = "unknown"  # on record, or reporting, but it has not yet shown a token of ours
+    ACTIVE = "known"
+    LEASE_EXPIRED = "lost"  # silent for so long that its worker's lease has certainly run out
+    RELEASED = "gone"  # the cloud confirmed its return
 
 
 _MACHINE_NEXT = {
-    Standing.UNKNOWN: {Standing.KNOWN, Standing.GONE},
-    Standing.KNOWN: {Standing.LOST, Standing.GONE},
-    Standing.LOST: {Standing.KNOWN, Standing.GONE},
-    Standing.GONE: set(),
+    MachineState.UNCONFIRMED: {MachineState.ACTIVE, MachineState.RELEASED},
+    MachineState.ACTIVE: {MachineState.LEASE_EXPIRED, MachineState.RELEASED},
+    MachineState.LEASE_EXPIRED: {MachineState.ACTIVE, MachineState.RELEASED},
+    MachineState.RELEASED: set(),
 }
 
 
@@ -106,66 +119,70 @@
     spot: bool
     addr: str
     first_seen: float
-    open: bool = True  # takes new tasks
-    standing: Standing = Standing.UNKNOWN
-    session: int = 0
-    seq: int = -1
-    lost_session: int = -1
-    counter: int = 1  # low part of the token that this machine is given
-    birth: int = 1  # the first of them that it was given: no answer ever carried one as high before
-    shown: int = 0  # the highest of them that it has shown
-    asked_at: float | None = None  # when it was first answered with `counter`, if it has not shown that yet
-    asked_seq: tuple[int, int] = (0, 0)  # its newest message then
-    confirmed_at: float | None = None  # it last showed what only an answer of ours could have told it
-    deaf: bool = False  # its reports arrive, but it shows nothing of our answers
-    fence: int = 0  # commands with tokens below this may still arrive late unless the worker has seen it
-    token_seen: int = 0
-    in_flight: int = 0  # direct commands without an answer yet
-    heard_at: float | None = None  # receipt of its newest message
-    notice_until: float | None = None
-    runs: dict[tuple[str, int], TaskAttempt] = field(default_factory=dict)
-    forget: dict[tuple[str, int], int] = field(default_factory=dict)
+    schedulable: bool = True  # takes new tasks
+    state: MachineState = MachineState.UNCONFIRMED
+    incarnation: int = 0
+    heartbeat_seq: int = -1
+    expired_incarnation: int = -1
+    token_counter: int = 1  # low part of the token that this machine is given
+    first_token_counter: int = 1  # the first of them that it was given: no answer ever carried one as high before
+    acknowledged_counter: int = 0  # the highest of them that it has shown
+    token_offered_at: float | None = None  # when it was first answered with `counter`, if it has not shown that yet
+    token_offered_seq: tuple[int, int] = (0, 0)  # its newest message then
+    acknowledged_at: float | None = None  # it last showed what only an answer of ours could have told it
+    responses_lost: bool = False  # its reports arrive, but it shows nothing of our answers
+    fence_token: int = 0  # commands with tokens below this may still arrive late unless the worker has seen it
+    highest_token_seen: int = 0
+    commands_in_flight: int = 0  # direct commands without an answer yet
+    last_heartbeat_at: float | None = None  # receipt of its newest message
+    termination_notice_until: float | None = None
+    attempts: dict[tuple[str, int], TaskAttempt] = field(default_factory=dict)
+    to_forget: dict[tuple[str, int], int] = field(default_factory=dict)
     unarchived: dict[tuple[str, int], int] = field(default_factory=dict)  # of `forget`, revisions of the records
-    images: set[int] = field(default_factory=set)  # seen in use here: a task with this image has run
+    cached_images: set[int] = field(default_factory=set)  # seen in use here: a task with this image has run
     idle_since: float | None = None
-    revoked_at: float | None = None  # it fell silent with a task that was cancelled then, and may hang with it still
-    failures: int = 0
-    avoid_until: float = 0.0
-    pause_until: float = 0.0  # it refused a task; too short a while to go on record
-    returning: bool = False
-    emptying: bool = False  # consolidation lets its tasks end or move, and sends it no new ones
-    return_after: float = 0.0
-    direct_after: float = 0.0
-    tasks_seen: list[wire.TaskStatus] | None = None  # what the newest report showed, unless tasks were assigned since
-
-    def advance(self, standing: Standing) -> bool:
+    cancelled_task_since: float | None = (
+        None  # it fell silent with a task that was cancelled then, and may hang with it still
+    )
+    task_failures: int = 0
+    quarantined_until: float = 0.0
+    backoff_until: float = 0.0  # it refused a task; too short a while to go on record
+    releasing: bool = False
+    draining: bool = False  # consolidation lets its tasks end or move, and sends it no new ones
+    release_after: float = 0.0
+    next_command_at: float = 0.0
+    last_task_statuses: list[wire.TaskStatus] | None = (
+        None  # what the newest report showed, unless tasks were assigned since
+    )
+
+    def transition(self, state: MachineState) -> bool:
         """Changes the standing if that is a step a machine can take."""
-        if standing not in _MACHINE_NEXT[self.standing]:
+        if state not in _MACHINE_NEXT[self.state]:
             return False
-        self.standing = standing
+        self.state = state
         return True
 
     @property
     def fenced(self) -> bool:
         """No command that went unanswered can act any more."""
-        return self.in_flight == 0 and self.token_seen >= self.fence
+        return self.commands_in_flight == 0 and self.highest_token_seen >= self.fence_token
 
-    def usable(self, now: float) -> bool:
+    def is_schedulable(self, now: float) -> bool:
         """May take new tasks: it is willing, and on record as that."""
-        return self.open and now >= self.pause_until and self.willing(now)
+        return self.schedulable and now >= self.backoff_until and self.can_accept_tasks(now)
 
-    def willing(self, now: float) -> bool:
+    def can_accept_tasks(self, now: float) -> bool:
         """Nothing speaks against new tasks."""
         return (
-            self.standing is Standing.KNOWN
-            and not self.returning
-            and not self.emptying
-            and not self.deaf
-            and self.notice_until is None
-            and now >= self.avoid_until
+            self.state is MachineState.ACTIVE
+            and not self.releasing
+            and not self.draining
+            and not self.responses_lost
+            and self.termination_notice_until is None
+            and now >= self.quarantined_until
         )
 
-    def lease_out(self, now: float, lease_s: float) -> bool:
+    def lease_expired(self, now: float, lease_s: float) -> bool:
         """The worker's lease has run out for certain.
 
         Only we can renew it: it has shown our token, and drops whatever carries a lower one. A renewal counts from the
@@ -173,21 +190,21 @@
         Late copies of older ones therefore renew nothing, though they are answered, and don't count.
         """
         return (
-            self.standing is Standing.KNOWN
-            and self.heard_at is not None
-            and now - self.heard_at > lease_s * DRIFT + LEASE_MARGIN_S
+            self.state is MachineState.ACTIVE
+            and self.last_heartbeat_at is not None
+            and now - self.last_heartbeat_at > lease_s * DRIFT + LEASE_MARGIN_S
         )
 
 
 _OBSERVED = {
-    wire.FETCHING: Phase.FETCHING,
-    wire.GATHERING: Phase.GATHERING,
-    wire.RUNNING: Phase.RUNNING,
-    wire.CHECKPOINTING: Phase.STOPPING,
-    wire.EXITED: Phase.EXITED,
+    wire.FETCHING: AttemptPhase.FETCHING,
+    wire.GATHERING: AttemptPhase.GATHERING,
+    wire.RUNNING: AttemptPhase.RUNNING,
+    wire.CHECKPOINTING: AttemptPhase.STOPPING,
+    wire.EXITED: AttemptPhase.EXITED,
 }
 
 
-def observed_phase(task: wire.TaskStatus) -> Phase | None:
+def observed_phase(task: wire.TaskStatus) -> AttemptPhase | None:
     """The phase that a report shows, or None for a state that this version does not know."""
     return _OBSERVED.get(task.state)
--- a/spurarch/coordination/owned_partition.py
+++ b/spurarch/coordination/owned_partition.py
@@ -28,7 +28,7 @@
         self.next_look = 0.0
         self.next_overdue = 0.0
         self.cleaned_at = 0.0
-        self.peopled_at = partition.taken_at  # when the part last had machines
+        self.peopled_at = partition.claimed_at  # when the part last had machines
         self.working = False
         self.provisional = False  # it works by records that were read before its claim, to stop what is cancelled
         self.cut = False
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -10,10 +10,10 @@
 
 import curio
 
-from spurarch.coordination.allocation_changes import is_live_gang, merged, save_grace_s
+from spurarch.coordination.allocation_changes import checkpoint_grace_s, is_live_gang, merge_changes
 from spurarch.coordination.command_sender import CommandSender
 from spurarch.coordination.loop_lag import LoopLag
-from spurarch.coordination.machine import Standing, TaskAttempt
+from spurarch.coordination.machine import MachineState, TaskAttempt
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.owned_partition import OwnedPartition
 from spurarch.coordination.partition import ArchiveCoverage, Partition
@@ -128,14 +128,14 @@
         if not self.permissions.answers(now):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
         owned = self._own(heartbeat.zone, now)
-        occasions = owned.partition.occasions
+        occasions = owned.partition.scheduling_triggers
         commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.steady(now))
         if commands is None:
             return 503, wire.encode(wire.ErrorBody("not entitled to this worker"))
         machine = owned.partition.machines[heartbeat.machine]
-        if owned.partition.occasions != occasions:
+        if owned.partition.scheduling_triggers != occasions:
             await owned.wakeup.set()
-        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.token(machine), commands))
+        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.fencing_token(machine), commands))
 
     def strangers(self, now: float) -> list[tuple[str, int]]:
         """By zone, workers that reported here of late though another holds their zone."""
@@ -160,7 +160,7 @@
                 self.tuning,
                 SILENT_HEARTBEATS * self.deployment.workers.heartbeat_interval_s,
             )
-            owned.partition.cancelled_ago = self.permissions.cancelled_ago
+            owned.partition.time_since_cancellation = self.permissions.cancelled_ago
             if self._coverage is not None:
                 owned.partition.coverage = self._coverage
                 owned.partition.may_start = lambda: self.replica.store.trusted
@@ -210,7 +210,7 @@
             owned.wakeup.clear()
             try:
                 await self._prepare(owned)
-                if owned.partition.ready:
+                if owned.partition.records_read:
                     await self._work(owned)
             except curio.CancelledError:
                 raise
@@ -229,11 +229,11 @@
         while self.owned.get(owned.partition.zone) is owned and self.permissions.owns(owned.partition):
             await curio.sleep(TICK_S)
             try:
-                if (owned.partition.ready or owned.provisional) and self.permissions.owns(owned.partition):
+                if (owned.partition.records_read or owned.provisional) and self.permissions.owns(owned.partition):
                     self._obey_cancels(owned)
                     await self._send(owned)
                     await self.returns.watch_overdue(owned, time.monotonic())
-                    if owned.partition.ready:
+                    if owned.partition.records_read:
                         await self.returns.watch_silence(owned, time.monotonic())
             except curio.CancelledError:
                 raise
@@ -256,23 +256,23 @@
 
     def _take_news(self, owned: OwnedPartition, now: float) -> None:
         if owned.changed_keys:
-            owned.partition.take_records(self.replica.state, owned.changed_keys, now)
+            owned.partition.apply_records(self.replica.state, owned.changed_keys, now)
             owned.changed_keys.clear()
 
     async def _prepare(self, owned: OwnedPartition) -> None:
         """Takes records in; a part is ready once a copy read after its claim is complete."""
         partition, state = owned.partition, self.replica.state
-        if not partition.ready:
+        if not partition.records_read:
             if not await self.replica.sync():
                 if self.replica.loaded and not owned.provisional:
                     # What was read before the claim serves to stop cancelled tasks, and for nothing else.
-                    partition.take_records(state, list(state.entries), time.monotonic())
+                    partition.apply_records(state, list(state.entries), time.monotonic())
                     owned.provisional = True
                 return
             self._spread_news()
-            partition.take_records(state, list(dict.fromkeys([*state.entries, *owned.changed_keys])), time.monotonic())
+            partition.apply_records(state, list(dict.fromkeys([*state.entries, *owned.changed_keys])), time.monotonic())
             owned.changed_keys.clear()
-            partition.ready = True
+            partition.records_read = True
         else:
             self._spread_news()
             self._take_news(owned, time.monotonic())
@@ -286,15 +286,15 @@
             partition.tick(now)
             writes = self._machine_writes(partition, now)
         partition.now = now
-        changes = partition.ends(state, self._gather_s())
-        if partition.free:
+        changes = partition.terminal_entries(state, self._gather_s())
+        if partition.unassigned:
             budget = self._round_budget()
             owned.placer.scarce = self.replica.store.write_level() < SCARCE_LEVEL
             placed = owned.placer.run(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
             if self.permissions.fresh(now):
                 for attempt in placed.preempt:
                     log.info("preempting %s/%d on %s", *attempt.key, attempt.machine)
-                    partition.stop(attempt, self._grace(attempt))
+                    partition.request_stop(attempt, self._grace(attempt))
             for allocation, entries in placed.entries.items():
                 changes.setdefault(allocation, {}).update(entries)
             if placed.unfinished:
@@ -317,9 +317,9 @@
     def _refine(self, owned: OwnedPartition, now: float) -> None:
         """The round of Tabu search and consolidation, and reopening what was being emptied when tasks wait."""
         partition = owned.partition
-        if partition.free:
+        if partition.unassigned:
             for machine in partition.machines.values():
-                machine.emptying = False
+                machine.draining = False
         if now < owned.next_search or (self._lag.late and now < owned.next_search + SEARCH_PUT_OFF_S):
             return
         first = owned.next_search == 0.0
@@ -331,17 +331,17 @@
         result = refine(partition, self.view, self.tuning, now, self._random, self._round_budget().spent)
         if result.empty is not None:
             log.info("emptying %s", result.empty)
-            partition.machines[result.empty].emptying = True
+            partition.machines[result.empty].draining = True
         for attempt, target in result.moves:
             log.info("moving %s/%d from %s to %s", *attempt.key, attempt.machine, target)
             owned.placer.targets[attempt.key] = target, now + MOVE_S
-            partition.stop(attempt, self._grace(attempt))
+            partition.request_stop(attempt, self._grace(attempt))
         if result.search is not None and result.search.moves:
             log.info("search of %s: cost %.4f to %.4f", partition.zone, result.search.before, result.search.after)
 
     def _grace(self, attempt: TaskAttempt) -> float:
-        job = self.replica.state.jobs.get(attempt.where.job)
-        return save_grace_s(job.spec) if job is not None else 0.0
+        job = self.replica.state.jobs.get(attempt.allocation.job)
+        return checkpoint_grace_s(job.spec) if job is not None else 0.0
 
     # Records
 
@@ -352,19 +352,19 @@
         for machine in list(partition.machines.values()):
             key = records.machine_key(partition.zone, machine.name)
             record = on_record.get(machine.name)
-            if machine.standing is Standing.GONE:
-                if machine.runs:
+            if machine.state is MachineState.RELEASED:
+                if machine.attempts:
                     continue
                 if record is not None:
                     out.append(Write(key, None))
                 else:
                     del partition.machines[machine.name]
                 continue
-            if machine.standing is Standing.UNKNOWN or not machine.type:
+            if machine.state is MachineState.UNCONFIRMED or not machine.type:
                 continue
-            if partition.dark and machine.standing is Standing.LOST:
+            if partition.unreachable and machine.state is MachineState.LEASE_EXPIRED:
                 continue  # the whole zone is closed by one change
-            wanted = MachineRecord(machine.type, machine.spot, machine.addr, machine.willing(now))
+            wanted = MachineRecord(machine.type, machine.spot, machine.addr, machine.can_accept_tasks(now))
             if record != wanted:
                 out.append(Write(key, wanted))
         return out
@@ -413,7 +413,7 @@
         pending: Iterable[AllocationKey],
     ) -> dict[Urgency, list[_Change]]:
         out: dict[Urgency, list[_Change]] = {Urgency.REPLICAS: [_Change(write) for write in extra], Urgency.STARTS: []}
-        cleaning = dict.fromkeys(partition.left_over(self.replica.state))
+        cleaning = dict.fromkeys(partition.deletable_allocations(self.replica.state))
         out[Urgency.ENDS] = [_Change(Write(str(allocation), None), allocation) for allocation in cleaning]
         for allocation, entries in changes.items():
             if allocation in cleaning or allocation in pending:
@@ -453,9 +453,9 @@
         if record is None:
             return []
         if change.entries is None:
-            over = partition.is_left_over(self.replica.state, change.where)
+            over = partition.is_deletable(self.replica.state, change.where)
             return [change.write] if change.write is not None and over else []
-        new = merged(record, change.entries, is_live_gang(self.replica.state, change.where.job))
+        new = merge_changes(record, change.entries, is_live_gang(self.replica.state, change.where.job))
         if new is None:
             return []
         return [
@@ -484,7 +484,7 @@
 
     async def _send(self, owned: OwnedPartition) -> None:
         """Starts and stops go straight to the worker, by what the records say now."""
-        if owned.partition.ready:
+        if owned.partition.records_read:
             self._spread_news()
             self._take_news(owned, time.monotonic())
         await self._commands.send(owned)
--- a/spurarch/coordination/placing.py
+++ b/spurarch/coordination/placing.py
@@ -8,7 +8,7 @@
 from functools import cached_property
 from itertools import groupby, islice
 
-from spurarch.coordination.allocation_changes import live
+from spurarch.coordination.allocation_changes import is_live
 from spurarch.coordination.best_fit import (
     EPSILON,
     Draft,
@@ -21,7 +21,7 @@
     gathering_rooms,
 )
 from spurarch.coordination.gang import GangAttempt, GangState
-from spurarch.coordination.machine import Phase, TaskAttempt
+from spurarch.coordination.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.view import FleetView, JobView
 from spurarch.storage import records
@@ -86,7 +86,7 @@
     ) -> Placement:
         """One round; what the time or `most` changed allocations cut off comes first in the next."""
         self.targets = {k: t for k, t in self.targets.items() if t[1] > now}
-        waiting_jobs = {allocation.job for allocation in partition.free}
+        waiting_jobs = {allocation.job for allocation in partition.unassigned}
         self.reservations = {j: r for j, r in self.reservations.items() if r.until > now and j in waiting_jobs}
         turn = _Round(self, partition, view, now, wall)
         try:
@@ -97,7 +97,7 @@
             self.moved_at = now
         if not turn.result.unfinished and not self.pending:
             self._since = {k: t for k, t in self._since.items() if k in turn.waiting}
-            self._allocations = {k: t for k, t in self._allocations.items() if k in partition.free}
+            self._allocations = {k: t for k, t in self._allocations.items() if k in partition.unassigned}
             self._claims = {k: t for k, t in self._claims.items() if k in turn.waiting}
         return turn.result
 
@@ -154,9 +154,9 @@
         out = []
         for room in self.view.zone_rooms[self.view.zones.index(self.partition.zone)].values():
             machine = self.partition.machines.get(self.view.machines.name(room.machine))
-            if machine is None or not machine.usable(self.now):
+            if machine is None or not machine.is_schedulable(self.now):
                 continue
-            if self.now - (machine.heard_at or self.now) <= self.placer.silent_s:
+            if self.now - (machine.last_heartbeat_at or self.now) <= self.placer.silent_s:
                 out.append(room)
         return out
 
@@ -171,7 +171,9 @@
             self._keep_from_arrays(reservation.machines)
         # While arrays stand in line for changes, more of them can't be started, and their order may change.
         free = [
-            w for w in partition.free if w.job in view.jobs and (not self.placer.pending or not view.jobs[w.job].array)
+            w
+            for w in partition.unassigned
+            if w.job in view.jobs and (not self.placer.pending or not view.jobs[w.job].array)
         ]
         ranks = {w: self._rank(w) for w in free if w not in self.placer.pending and self._wanted(w.job)}
         order = sorted(ranks, key=ranks.__getitem__)
@@ -194,7 +196,7 @@
 
     def _wanted(self, job_id: str) -> bool:
         backoff = self.partition.backoffs.get(job_id)
-        return live(self.view.state, job_id) and (backoff is None or backoff.not_before <= self.now)
+        return is_live(self.view.state, job_id) and (backoff is None or backoff.not_before <= self.now)
 
     def _turns(
         self, wheres: list[AllocationKey]
@@ -239,7 +241,7 @@
     def _left(self, allocation: AllocationKey) -> list[TaskEntry]:
         """Tasks that wait and have not been placed in this round."""
         placed = self.result.entries.get(allocation, {})
-        return [entry for entry in self.partition.free[allocation] if entry.index not in placed]
+        return [entry for entry in self.partition.unassigned[allocation] if entry.index not in placed]
 
     def _rank(self, allocation: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
         job = self.view.jobs[allocation.job]
@@ -250,7 +252,7 @@
 
     def _count_ended(self) -> None:
         """Tasks that have ended make room at once, also those whose end is not recorded yet."""
-        for allocation, attempts in self.partition.over.items():
+        for allocation, attempts in self.partition.terminal_attempts.items():
             job = self.view.jobs.get(allocation.job)
             for attempt in attempts.values():
                 room = self._rooms_by_name.get(attempt.machine)
@@ -270,8 +272,8 @@
         for key in self.placer.targets:
             job = self.view.jobs.get(key[0])
             room = self._target(key, job.need) if job is not None else None
-            placed = self.partition.runs.get(key)
-            if job is not None and room is not None and (placed is None or placed.stop):
+            placed = self.partition.attempts.get(key)
+            if job is not None and room is not None and (placed is None or placed.stop_requested):
                 self.draft.take(room, job.need)
                 out[key] = room
         return out
@@ -279,7 +281,7 @@
     def _assign(self, allocation: AllocationKey, entry: TaskEntry, room: Room, attempt: int | None = None) -> None:
         machine = self.partition.machines[self.view.machines.name(room.machine)]
         number = entry.attempt + 1 if attempt is None else attempt
-        new = TaskEntry(entry.index, records.ASSIGNED, number, machine.name, machine.session)
+        new = TaskEntry(entry.index, records.ASSIGNED, number, machine.name, machine.incarnation)
         self.result.entries.setdefault(allocation, {})[entry.index] = new
 
     def _give_back(self, allocation: AllocationKey, entry: TaskEntry) -> None:
@@ -364,7 +366,7 @@
 
     def _patience(self) -> float:
         """How long a task waits before it may be given back: it takes four changes to bring it elsewhere."""
-        return GIVE_BACK_SCARCE_S if self.placer.scarce and not self.partition.dark else GIVE_BACK_S
+        return GIVE_BACK_SCARCE_S if self.placer.scarce and not self.partition.unreachable else GIVE_BACK_S
 
     def _stuck(self, since: float) -> bool:
         """Nothing of the queue moves.
@@ -372,8 +374,8 @@
         Machines that were to come up here are late, others took the room, or nobody hears the zone.
         """
         return (
-            self.partition.dark
-            or self.now - max(since, self.placer.moved_at, self.partition.grew_at) > GIVE_BACK_STUCK_S
+            self.partition.unreachable
+            or self.now - max(since, self.placer.moved_at, self.partition.capacity_added_at) > GIVE_BACK_STUCK_S
         )
 
     def _better_elsewhere(self, job: JobView) -> bool:
@@ -383,7 +385,7 @@
         would send its tasks after the room of the others. Each place found is counted once: if everything that waits
         here went after the same few places, most of it would come back, at four changes of records each.
         """
-        if self.placer.scarce and self.now - self.partition.grew_at < STILL_GROWS_S:
+        if self.placer.scarce and self.now - self.partition.capacity_added_at < STILL_GROWS_S:
             return False  # machines come up here too, and moving a task costs more than the wait
         need = job.need
         shape = (*need.shape, job.service)
@@ -509,7 +511,7 @@
                 for attempt in self._lower_runs(job.need, room):
                     if room.slots(job.need, count) >= count:
                         break
-                    trial.take(room, self.view.jobs[attempt.where.job].need, -1)
+                    trial.take(room, self.view.jobs[attempt.allocation.job].need, -1)
                     picked.append(attempt)
                 slots = room.slots(job.need, count) if room.allows(job.need) else 0
                 if slots:
@@ -540,7 +542,7 @@
 
     def _place_replicas(self, allocation: AllocationKey, job: JobView) -> None:
         need, full = job.need, self._hopeless(job.need)
-        for entry in self.partition.free[allocation]:
+        for entry in self.partition.unassigned[allocation]:
             key = allocation.job, entry.index
             if self._await_claim(allocation, job, entry):
                 continue
@@ -568,7 +570,7 @@
                 self._give_back(allocation, entry)
 
     def _has_image(self, room: Room, need: Need) -> bool:
-        return need.image in self.partition.machines[self.view.machines.name(room.machine)].images
+        return need.image in self.partition.machines[self.view.machines.name(room.machine)].cached_images
 
     # Whom to stop
 
@@ -613,7 +615,7 @@
         machine = self.partition.machines[self.view.machines.name(room.machine)]
         lower = [
             attempt
-            for attempt in machine.runs.values()
+            for attempt in machine.attempts.values()
             if self._stoppable(attempt)
             and self._priority(attempt) > need.priority
             and (gangs or not self._in_gang(attempt))
@@ -624,16 +626,16 @@
         return lower
 
     def _in_gang(self, attempt: TaskAttempt) -> bool:
-        return self.partition.gangs.get(attempt.where.job) is not None
+        return self.partition.gangs.get(attempt.allocation.job) is not None
 
     def _loss(self, attempts: list[TaskAttempt]) -> int:
         """How many tasks would stop with these."""
         gangs = {
-            attempt.where.job: gang.size
+            attempt.allocation.job: gang.size
             for attempt in attempts
-            if (gang := self.partition.gangs.get(attempt.where.job)) is not None
+            if (gang := self.partition.gangs.get(attempt.allocation.job)) is not None
         }
-        return sum(gangs.values()) + sum(attempt.where.job not in gangs for attempt in attempts)
+        return sum(gangs.values()) + sum(attempt.allocation.job not in gangs for attempt in attempts)
 
     def _stop(self, key: tuple[str, int], need: Need, attempts: list[TaskAttempt], room: Room, wait_s: float) -> None:
         self.waiting.add(key)
@@ -641,7 +643,7 @@
         self.result.preempt += attempts
         for attempt in attempts:
             self._chosen.add(attempt.key)
-            self.draft.take(room, self.view.jobs[attempt.where.job].need, -1)
+            self.draft.take(room, self.view.jobs[attempt.allocation.job].need, -1)
         self.draft.take(room, need)  # nobody else may count on this room
 
     def _enough(self, need: Need, room: Room, candidates: list[TaskAttempt]) -> list[TaskAttempt]:
@@ -651,7 +653,7 @@
             for attempt in candidates:
                 if room.fits(need):
                     break
-                trial.take(room, self.view.jobs[attempt.where.job].need, -1)
+                trial.take(room, self.view.jobs[attempt.allocation.job].need, -1)
                 chosen.append(attempt)
             return chosen if room.fits(need) else []
         finally:
@@ -665,15 +667,15 @@
         if self._victims_by_guarantee is None:
             attempts = [
                 attempt
-                for attempt in self.partition.runs.values()
+                for attempt in self.partition.attempts.values()
                 if self._stoppable(attempt)
-                and attempt.where.job in self.view.jobs
+                and attempt.allocation.job in self.view.jobs
                 and not self._in_gang(attempt)
-                and attempt.where.job not in self.view.guaranteed()
+                and attempt.allocation.job not in self.view.guaranteed()
             ]
             self._victims_by_guarantee = sorted(attempts, key=lambda attempt: attempt.running_at or self.now)
         for attempt in reversed(self._victims_by_guarantee):
-            victim = self.view.jobs[attempt.where.job]
+            victim = self.view.jobs[attempt.allocation.job]
             room = self._rooms_by_name.get(attempt.machine)
             if victim.team == job.team or victim.service or room is None:
                 continue
@@ -687,8 +689,8 @@
         return False
 
     def _stoppable(self, attempt: TaskAttempt) -> bool:
-        return not attempt.stop and attempt.phase < Phase.STOPPING and attempt.key not in self._chosen
+        return not attempt.stop_requested and attempt.phase < AttemptPhase.STOPPING and attempt.key not in self._chosen
 
     def _priority(self, attempt: TaskAttempt) -> int:
-        job = self.view.jobs.get(attempt.where.job)
+        job = self.view.jobs.get(attempt.allocation.job)
         return job.need.priority if job else 0
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/release_candidates.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from spurarch.coordination.failures import FAULTS_BEFORE_PAUSE
-from spurarch.coordination.machine import Machine, Standing
+from spurarch.coordination.machine import Machine, MachineState
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.view import FleetView
 from spurarch.settings import Tuning, Workers
@@ -30,15 +30,15 @@
     limit = max(CUT_SILENCE_S, CUT_OFF_HEARTBEATS * workers.heartbeat_interval_s)
     silent = total = 0
     for machine in partition.machines.values():
-        if machine.returning or machine.standing is Standing.GONE:
+        if machine.releasing or machine.state is MachineState.RELEASED:
             continue
         total += 1
-        if machine.standing is Standing.UNKNOWN:
+        if machine.state is MachineState.UNCONFIRMED:
             # Workers need a while to find a new owner. All count together: one machine that was heard once must not
             # stand for a zone that nobody has heard since.
-            silent += now - max(partition.taken_at, machine.first_seen, woke_at) > limit + FIND_S
+            silent += now - max(partition.claimed_at, machine.first_seen, woke_at) > limit + FIND_S
         else:
-            silent += now - max(machine.heard_at or machine.first_seen, woke_at) > limit
+            silent += now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > limit
     return silent >= 2 and 2 * silent > total
 
 
@@ -58,7 +58,7 @@
     out = [m for m in partition.machines.values() if _silent(partition, m, tuning, workers, old_holder_s, now, woke_at)]
     if cut or _suspect(partition, workers, now, woke_at):
         # Those that nobody answered for longer than a lease are no loss, whoever is cut off.
-        return [m for m in out if m.standing is not Standing.KNOWN]
+        return [m for m in out if m.state is not MachineState.ACTIVE]
     return out
 
 
@@ -68,9 +68,9 @@
     When a controller is cut off, the first machines pass the patience for a single one before half of them pass the
     limit for a cut: a quarter of a healthy zone was once returned in that second.
     """
-    known = [m for m in partition.machines.values() if m.standing is Standing.KNOWN and not m.returning]
+    known = [m for m in partition.machines.values() if m.state is MachineState.ACTIVE and not m.releasing]
     late = sum(
-        now - max(m.heard_at or m.first_seen, woke_at) > SUSPECT_HEARTBEATS * workers.heartbeat_interval_s
+        now - max(m.last_heartbeat_at or m.first_seen, woke_at) > SUSPECT_HEARTBEATS * workers.heartbeat_interval_s
         for m in known
     )
     return late >= 2 and late > SUSPECT_SHARE * len(known)
@@ -85,21 +85,23 @@
     now: float,
     woke_at: float,
 ) -> bool:
-    if machine.standing is Standing.GONE or machine.returning:
+    if machine.state is MachineState.RELEASED or machine.releasing:
         return False
-    if machine.standing is Standing.UNKNOWN:
+    if machine.state is MachineState.UNCONFIRMED:
         # An old owner that is cut off from all but its workers may keep it alive, so time proves nothing, and its
         # return would end healthy work. Such an owner stops in the end, and then its workers look for us.
-        return now - max(partition.taken_at, machine.first_seen, woke_at) > max(
+        return now - max(partition.claimed_at, machine.first_seen, woke_at) > max(
             workers.lease_s * 1.5, old_holder_s + FIND_S
         )
-    if machine.standing is Standing.LOST:
+    if machine.state is MachineState.LEASE_EXPIRED:
         # Its tasks are free already. A zone that was cut off comes back, and its machines with it.
-        return now - max(machine.heard_at or machine.first_seen, woke_at) > LOST_LEASES * workers.lease_s
-    patience = max(tuning.silent_return_s, 2.5 * workers.heartbeat_interval_s) if machine.runs else workers.lease_s * 2
-    if machine.deaf:
-        return now - max(machine.asked_at or now, woke_at) > patience
-    return now - max(machine.heard_at or machine.first_seen, woke_at) > patience
+        return now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > LOST_LEASES * workers.lease_s
+    patience = (
+        max(tuning.silent_return_s, 2.5 * workers.heartbeat_interval_s) if machine.attempts else workers.lease_s * 2
+    )
+    if machine.responses_lost:
+        return now - max(machine.token_offered_at or now, woke_at) > patience
+    return now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > patience
 
 
 def overdue_machines(
@@ -113,16 +115,20 @@
     else, who stops the task; they get longer, until an owner that is cut off has had to let go of them.
     """
     out = []
-    for name in list(partition.revoking):
+    for name in list(partition.machines_with_cancelled_tasks):
         machine = partition.machines.get(name)
-        since = partition.overdue(machine) if machine is not None and machine.standing is not Standing.GONE else None
+        since = (
+            partition.overdue_since(machine)
+            if machine is not None and machine.state is not MachineState.RELEASED
+            else None
+        )
         if machine is None or since is None:
-            del partition.revoking[name]
+            del partition.machines_with_cancelled_tasks[name]
             continue
-        share = OVERDUE_UNHEARD if cut or machine.standing is Standing.UNKNOWN else OVERDUE
+        share = OVERDUE_UNHEARD if cut or machine.state is MachineState.UNCONFIRMED else OVERDUE
         if now - since > share * workers.cancel_s and now - woke_at > OVERDUE_HEARTBEATS * workers.heartbeat_interval_s:
             out.append(machine)
-    return [m for m in out if not m.returning]
+    return [m for m in out if not m.releasing]
 
 
 def orphaned_machines(
@@ -152,14 +158,20 @@
     out = []
     for room in view.zone_rooms[view.zones.index(partition.zone)].values():
         machine = partition.machines.get(view.machines.name(room.machine))
-        if machine is None or room.tasks or machine.runs or machine.standing is not Standing.KNOWN or machine.returning:
+        if (
+            machine is None
+            or room.tasks
+            or machine.attempts
+            or machine.state is not MachineState.ACTIVE
+            or machine.releasing
+        ):
             continue
-        if machine.emptying or machine.failures >= FAULTS_BEFORE_PAUSE:
+        if machine.draining or machine.task_failures >= FAULTS_BEFORE_PAUSE:
             # A closed machine is no room for anyone: kept, it would only cost. A faulty one is replaced.
             out.append(machine)
             continue
         if (
-            partition.free
+            partition.unassigned
             or machine.idle_since is None
             or now - machine.idle_since < tuning.idle_return_s
             or not room.open
--- a/spurarch/coordination/releasing.py
+++ b/spurarch/coordination/releasing.py
@@ -8,10 +8,10 @@
 
 import curio
 
-from spurarch.coordination.machine import Machine, Standing
+from spurarch.coordination.machine import Machine, MachineState
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.owned_partition import OwnedPartition
-from spurarch.coordination.partition import RETURNED_KEPT, Partition
+from spurarch.coordination.partition import RELEASED_MACHINES_KEPT, Partition
 from spurarch.coordination.permissions import Permissions
 from spurarch.coordination.release_candidates import (
     cut_off,
@@ -78,7 +78,7 @@
         """Returns machines whose cancelled tasks won't show that they left, whether or not the state service answers."""
         partition = owned.partition
         if (
-            not partition.revoking
+            not partition.machines_with_cancelled_tasks
             or now < owned.next_overdue
             or not self._permissions.steady(now)
             or self._permissions.superseded(partition.zone)
@@ -120,7 +120,7 @@
 
     def _remember_returned(self, zones: dict[str, str]) -> None:
         self._returned.update(zones)
-        while len(self._returned) > RETURNED_KEPT:
+        while len(self._returned) > RELEASED_MACHINES_KEPT:
             del self._returned[next(iter(self._returned))]
 
     async def _return_overdue(self, owned: OwnedPartition, machines: list[Machine]) -> None:
@@ -132,7 +132,7 @@
             return (
                 self._permissions.owns(partition)
                 and self._permissions.steady(now)
-                and any(partition.overdue(m) is not None for m in machines)
+                and any(partition.overdue_since(m) is not None for m in machines)
             )
 
         try:
@@ -164,10 +164,10 @@
         now: float,
         how: Callable[[OwnedPartition, list[Machine]], Awaitable[None]],
     ) -> None:
-        machines = [m for m in found if m.return_after <= now][:RETURN_AT_ONCE]
+        machines = [m for m in found if m.release_after <= now][:RETURN_AT_ONCE]
         if machines:
             for machine in machines:
-                machine.returning = True
+                machine.releasing = True
             await curio.spawn(how, owned, machines, daemon=True)
 
     def hear(self, node: str, strangers: dict[str, int], returned: list[str]) -> None:
@@ -176,7 +176,7 @@
         for owned in self.owned.values():
             for name in returned:
                 if name in owned.partition.machines:
-                    owned.partition.returned(name)
+                    owned.partition.on_released(name)
         for zone in strangers:
             if zone in self.owned:
                 self.owned[zone].next_look = 0.0  # what is left of those workers' leases is short
@@ -194,23 +194,25 @@
         elif owned.cut_since is None:
             owned.cut_since = now
         # Once the zone is back, some of its workers come here, though others go to other controllers first.
-        known = [m for m in partition.machines.values() if m.standing is Standing.KNOWN]
+        known = [m for m in partition.machines.values() if m.state is MachineState.ACTIVE]
         if partition.machines:
             owned.peopled_at = now
-        if any(now - (m.heard_at or 0.0) < BACK_S for m in known) or now - owned.peopled_at > EMPTY_S:
+        if any(now - (m.last_heartbeat_at or 0.0) < BACK_S for m in known) or now - owned.peopled_at > EMPTY_S:
             # A dark zone whose machines have all been returned stays dark for a while: what is rented there would not be
             # heard either, and what is admitted for it would come back, again and again.
-            partition.dark = False
+            partition.unreachable = False
         elif owned.cut_since is not None:
             elsewhere = sum(heard.get(zone, 0) for heard in self.heard_elsewhere.values())
             blind = not self.heard_elsewhere and now - owned.cut_since > BLIND_S
-            if elsewhere >= max(1, min(STRANGERS, len(partition.machines) // 4)) or (blind and not partition.dark):
+            if elsewhere >= max(1, min(STRANGERS, len(partition.machines) // 4)) or (
+                blind and not partition.unreachable
+            ):
                 self.membership.note_unheard(zone, now)
                 log.warning("most machines of %s are silent: another controller should take the part", zone)
-            elif not partition.dark and self.heard_elsewhere:
-                partition.dark = True
+            elif not partition.unreachable and self.heard_elsewhere:
+                partition.unreachable = True
                 log.warning("nobody hears the machines of %s", zone)
-        self.membership.note_dark(zone, partition.dark)
+        self.membership.note_dark(zone, partition.unreachable)
 
     async def _return(self, owned: OwnedPartition, machines: list[Machine]) -> None:
         """Returns machines in one call: calls are few, and a wave of silent machines has many."""
@@ -220,18 +222,18 @@
             # silent while they report to the new owner, and returning them would end healthy work.
             if not await self.replica.sync() or not self._permissions.owns(partition):
                 return
-            idle = [m for m in machines if m.standing is Standing.KNOWN and not m.runs]
+            idle = [m for m in machines if m.state is MachineState.ACTIVE and not m.attempts]
             if not await self._close(partition, idle):
                 return
             if not self._permissions.owns(partition):
                 return
             # A task may have been recorded onto one of them meanwhile.
-            machines = [m for m in machines if m not in idle or not m.runs]
+            machines = [m for m in machines if m not in idle or not m.attempts]
             if not machines:
                 return
             for machine in machines:
-                state = "deaf" if machine.deaf else machine.standing.value
-                log.info("returning %s (%s, %d tasks)", machine.name, state, len(machine.runs))
+                state = "deaf" if machine.responses_lost else machine.state.value
+                log.info("returning %s (%s, %d tasks)", machine.name, state, len(machine.attempts))
             # The line in front of the cloud may be long, and this process may stand still in it.
             await self._release(
                 owned, machines, lambda: self._permissions.owns(partition) and self._permissions.fresh(time.monotonic())
@@ -247,7 +249,7 @@
             log.info("return of %d machines: %s", len(machines), err)
             return
         for machine in machines:
-            owned.partition.returned(machine.name)
+            owned.partition.on_released(machine.name)
         self._remember_returned({machine.name: machine.zone for machine in machines})
         await owned.wakeup.set()
 
@@ -259,9 +261,9 @@
         once.
         """
         for machine in machines:
-            if machine.standing is not Standing.GONE:
-                machine.return_after = time.monotonic() + RETURNS_S
-                machine.returning = False
+            if machine.state is not MachineState.RELEASED:
+                machine.release_after = time.monotonic() + RETURNS_S
+                machine.releasing = False
 
     async def _close(self, partition: Partition, machines: list[Machine]) -> bool:
         """Closes machines on record first: no task may be assigned to them while the cloud takes them down."""
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -9,7 +9,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
 from spurarch.cli import main
-from spurarch.coordination.machine import Phase
+from spurarch.coordination.machine import AttemptPhase
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.team_ledger import TeamLedger
 
@@ -25,13 +25,13 @@
 
 def drop_charge_early() -> None:
     """Takes a task that is told to stop for one that has left."""
-    stop_one = Partition._stop_one
+    stop_one = Partition._request_stop_one
 
     def stop_and_drop(partition: Partition, run: Any, grace_s: float) -> None:
         stop_one(partition, run, grace_s)
-        partition.step(run, Phase.GONE)
+        partition.transition(run, AttemptPhase.GONE)
 
-    Partition._stop_one = stop_and_drop  # type: ignore[assignment, method-assign]
+    Partition._request_stop_one = stop_and_drop  # type: ignore[assignment, method-assign]
 
 
 FAULTS = {"limit-left-out": leave_limit_out, "charge-dropped-early": drop_charge_early}
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 import curio
+import msgspec
 
 from spurarch.coordination.controller import Controller
 from spurarch.settings import (
@@ -37,6 +38,10 @@
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
 
 
+# A scenario names a setting as operators do, with underscores for hyphens.
+TUNING_ATTRIBUTES = {f.encode_name.replace("-", "_"): f.name for f in msgspec.structs.fields(Tuning)}
+
+
 class Play:
     """One run of a scenario."""
 
@@ -114,7 +119,8 @@
             self.earlier.update(words[1:])
         elif words[0] == "tuning":
             for name, value in opts.items():
-                setattr(self.tuning, name, type(getattr(self.tuning, name))(float(value)))
+                attribute = TUNING_ATTRIBUTES[name]
+                setattr(self.tuning, attribute, type(getattr(self.tuning, attribute))(float(value)))
         else:
             raise ValueError(f"unknown line: {words}")
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.allocation_changes import merged
+from spurarch.coordination.allocation_changes import merge_changes
 from spurarch.coordination.best_fit import Need, Room, gathering_rooms
 from spurarch.coordination.gang import GangAttempt, Gangs, GangState
-from spurarch.coordination.machine import Phase, TaskAttempt
+from spurarch.coordination.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.membership import assign_partitions, gangs_supported
 from spurarch.coordination.partition import Partition
 from spurarch.protocol import wire
@@ -57,11 +57,11 @@
 
 def gang_of(*entries: TaskEntry) -> GangAttempt:
     gang = GangAttempt("job-1", len(entries), 4.0)
-    gang.record(WHERE, list(entries))
+    gang.apply_record(WHERE, list(entries))
     for entry in entries:
         if entry.state == records.ASSIGNED:
             gang.members[entry.index] = member(entry.index, entry.attempt)
-    gang.settle()
+    gang.update_state()
     return gang
 
 
@@ -107,12 +107,12 @@
 def test_all_leave_once_one_has_left(why: str) -> None:
     gang = gang_of(assigned(0), assigned(1), assigned(2))
     for attempt in gang.members.values():
-        attempt.advance(Phase.RUNNING)
+        attempt.transition(AttemptPhase.RUNNING)
     states = []
     for leaves in (False, True):
         if leaves:
-            gang.members[1].advance(Phase.EXITED, why)
-        gang.settle()
+            gang.members[1].transition(AttemptPhase.EXITED, why)
+        gang.update_state()
         states.append(gang.state)
     assert states == [GangState.RUNNING, GangState.STOPPING]
     assert [attempt.index for attempt in gang.to_stop()] == [0, 2]
@@ -123,13 +123,13 @@
 def test_one_that_completed_proves_that_all_did() -> None:
     gang = gang_of(assigned(0), assigned(1))
     for attempt in gang.members.values():
-        attempt.advance(Phase.RUNNING)
-    gang.members[0].advance(Phase.EXITED, wire.REASON_DONE)
-    gang.settle()
+        attempt.transition(AttemptPhase.RUNNING)
+    gang.members[0].transition(AttemptPhase.EXITED, wire.REASON_DONE)
+    gang.update_state()
     assert gang.state is GangState.ENDED
     assert gang.to_stop() == []
-    gang.members[1].advance(Phase.GONE)
-    gang.settle()
+    gang.members[1].transition(AttemptPhase.GONE)
+    gang.update_state()
     assert gang.state is GangState.ENDED
 
 
@@ -145,14 +145,14 @@
 def test_members_are_stopped_with_the_same_time_to_save() -> None:
     gangs = Gangs()
     gang = gangs.track("job-1", 3, 4.0)
-    gang.record(WHERE, [assigned(i) for i in range(3)])
+    gang.apply_record(WHERE, [assigned(i) for i in range(3)])
     gang.members.update({i: member(i) for i in range(3)})
     for attempt in gang.members.values():
-        attempt.advance(Phase.RUNNING)
-    gang.members[2].stop, gang.members[2].grace_s = True, 4.0
-    gangs.note("job-1")
-    assert [(attempt.index, grace) for attempt, grace in gangs.settle()] == [(0, 4.0), (1, 4.0)]
-    assert gangs.settle() == []
+        attempt.transition(AttemptPhase.RUNNING)
+    gang.members[2].stop_requested, gang.members[2].grace_s = True, 4.0
+    gangs.mark_changed("job-1")
+    assert [(attempt.index, grace) for attempt, grace in gangs.members_to_stop()] == [(0, 4.0), (1, 4.0)]
+    assert gangs.members_to_stop() == []
 
 
 def part_with(job: JobRecord, entries: list[TaskEntry]) -> tuple[Partition, ClusterState]:
@@ -160,18 +160,18 @@
     state.put(records.JOB + "job-1", 1, job)
     state.put(str(WHERE), 2, AllocationRecord(entries))
     part = Partition("a", 1, 10.0, 0.0, lambda job_id: None)
-    part.take_records(state, list(state.entries), 0.0)
-    part.ready = True
+    part.apply_records(state, list(state.entries), 0.0)
+    part.records_read = True
     return part, state
 
 
 def test_no_command_starts_part_of_a_gang() -> None:
     part, state = part_with(JobRecord(submission(2), 0.0), [assigned(0), free(1)])
     machine = part.machines["vm-0"]
-    machine.session = 1
+    machine.incarnation = 1
     assert part.commands(machine, None) == []
     state.put(str(WHERE), 3, AllocationRecord([assigned(0), assigned(1)]))
-    part.take_records(state, [str(WHERE)], 1.0)
+    part.apply_records(state, [str(WHERE)], 1.0)
     assert [(c.op, c.task, c.attempt) for c in part.commands(machine, None)] == [(wire.START, "job-1/0", 1)]
 
 
@@ -180,23 +180,23 @@
     job = JobRecord(submission(4), 0.0)
     job.spec.kind = wire.BATCH
     part, state = part_with(job, [assigned(i) for i in range(4)])
-    part.step(part.runs["job-1", 3], Phase.EXITED, wire.REASON_DONE)
+    part.transition(part.attempts["job-1", 3], AttemptPhase.EXITED, wire.REASON_DONE)
     pieces = records.split(WHERE, AllocationRecord([assigned(i) for i in range(4)]), 2)
     state.apply_commit([Write(str(allocation), piece) for allocation, piece in pieces], 9)
-    part.take_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
-    attempt = part.runs["job-1", 3]
-    assert (attempt.phase, attempt.where) == (Phase.EXITED, pieces[1][0])
-    assert part.machines["vm-3"].forget == {}
-    assert part.ends(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
+    part.apply_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
+    attempt = part.attempts["job-1", 3]
+    assert (attempt.phase, attempt.allocation) == (AttemptPhase.EXITED, pieces[1][0])
+    assert part.machines["vm-3"].to_forget == {}
+    assert part.terminal_entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
 
 def test_gang_members_are_given_machines_together_or_not_at_all() -> None:
     record = AllocationRecord([free(0, 2), free(1, 4)])
     changes = {0: assigned(0, 5), 1: assigned(1, 5)}
-    new = merged(record, changes, gang=True)
+    new = merge_changes(record, changes, gang=True)
     assert new is not None
     assert [entry.attempt for entry in new.tasks] == [5, 5]
-    assert merged(AllocationRecord([free(0, 2), TaskEntry(1, records.RETURNED, 4)]), changes, gang=True) is None
+    assert merge_changes(AllocationRecord([free(0, 2), TaskEntry(1, records.RETURNED, 4)]), changes, gang=True) is None
 
 
 def test_an_unknown_task_state_teaches_nothing_and_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
@@ -204,10 +204,10 @@
     task = wire.TaskStatus("job-1/0", 1, "dreaming")
     with caplog.at_level(logging.WARNING):
         for seq in (1, 2, 3):
-            token = part.token(part.machines["vm-0"])
+            token = part.fencing_token(part.machines["vm-0"])
             heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
             part.on_heartbeat(heartbeat, float(seq))
-    assert part.runs["job-1", 0].phase is Phase.STARTING
+    assert part.attempts["job-1", 0].phase is AttemptPhase.STARTING
     assert [r.getMessage() for r in caplog.records].count("workers report the unknown task state 'dreaming'") == 1
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -9,7 +9,7 @@
 
 from spurarch.coordination.admission import Admission
 from spurarch.coordination.local_search import refine
-from spurarch.coordination.partition import RETURNED_KEPT
+from spurarch.coordination.partition import RELEASED_MACHINES_KEPT
 from spurarch.coordination.placing import Placer
 from spurarch.protocol import peer_messages
 from spurarch.settings import Tuning
@@ -42,11 +42,11 @@
     costs = []
     for machines in (400, MACHINES):
         fleet = Fleet(machines)
-        token = fleet.partition.token(fleet.partition.machines["vm-7"])
+        token = fleet.partition.fencing_token(fleet.partition.machines["vm-7"])
         ended = fleet.wire_report(7, 3, token)
         ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", exit_reason="done")
-        report = calls(lambda f=fleet, r=ended: f.partition.on_report(r, 2.0))  # type: ignore[misc]
-        left = calls(lambda f=fleet: f.partition.left_over(f.state))  # type: ignore[misc]
+        report = calls(lambda f=fleet, r=ended: f.partition.on_heartbeat(r, 2.0))  # type: ignore[misc]
+        left = calls(lambda f=fleet: f.partition.deletable_allocations(f.state))  # type: ignore[misc]
         costs.append((report, left))
     assert costs[0] == costs[1]
 
@@ -89,12 +89,12 @@
     load = peer_messages.Load("node-0", 1.0, False, [("zone", MACHINES)] * 20, names, 0)
     for message in (pong, load):
         assert len(peer_messages.encode(message)) <= frames.MAX_FRAME
-    assert min(RETURNED_KEPT, sockets.BACKLOG) >= MACHINES
+    assert min(RELEASED_MACHINES_KEPT, sockets.BACKLOG) >= MACHINES
 
 
 def test_the_first_looks_of_a_successor_are_over_soon() -> None:
     """Records of 4,000 machines and as many jobs are taken in by a new owner; generous, but not without a bound."""
     fleet = Fleet(MACHINES)
     assert len(fleet.partition.machines) == MACHINES
-    work = calls(lambda: fleet.partition.take_records(fleet.state, list(fleet.state.entries), 3.0))
+    work = calls(lambda: fleet.partition.apply_records(fleet.state, list(fleet.state.entries), 3.0))
     assert work <= 120 * MACHINES
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -9,7 +9,7 @@
 import curio
 import pytest
 
-from spurarch.coordination.machine import Standing
+from spurarch.coordination.machine import MachineState
 from spurarch.coordination.release_candidates import overdue_machines
 from spurarch.coordination.releasing import MachineReleaser
 from spurarch.protocol import wire
@@ -35,17 +35,17 @@
     """
     fleet = Fleet(3)
     machines = [fleet.partition.machines["vm-0"], fleet.partition.machines["vm-1"]]
-    attempts = [dict(machine.runs) for machine in machines]
+    attempts = [dict(machine.attempts) for machine in machines]
     released: list[str] = []
     for machine in machines:
-        machine.runs.clear()
-        machine.returning = True
+        machine.attempts.clear()
+        machine.releasing = True
 
     async def sync() -> bool:
         return True
 
     async def close(part: object, idle: object) -> bool:
-        machines[1].runs.update(attempts[1])
+        machines[1].attempts.update(attempts[1])
         return True
 
     async def release(names: list[str], still: object) -> None:
@@ -61,13 +61,13 @@
     owned: Any = SimpleNamespace(partition=fleet.partition, wakeup=SimpleNamespace(set=ring))
     curio.run(returns._return, owned, machines)
     assert released == ["vm-0"]
-    assert [machine.standing for machine in machines] == [Standing.GONE, Standing.KNOWN]
-    assert not machines[1].returning
-    assert machines[1].return_after > time.monotonic()
+    assert [machine.state for machine in machines] == [MachineState.RELEASED, MachineState.ACTIVE]
+    assert not machines[1].releasing
+    assert machines[1].release_after > time.monotonic()
 
 
 def _stop_cancelled(fleet: Fleet, now: float) -> None:
-    fleet.partition.cancelled_ago = lambda job: now - 20.0 if job in ("job-0", "job-1") else None
+    fleet.partition.time_since_cancellation = lambda job: now - 20.0 if job in ("job-0", "job-1") else None
     for job in ("job-0", "job-1", "job-2"):  # the last is stopped for another reason
         fleet.partition.stop_job(job, now)
 
@@ -86,11 +86,11 @@
     """Its lease has run out, which frees its tasks; but a machine that hangs has not ended them."""
     fleet = Fleet(3)
     _stop_cancelled(fleet, 25.0)
-    fleet.report(2, 9, fleet.partition.token(fleet.partition.machines["vm-2"]))
+    fleet.report(2, 9, fleet.partition.fencing_token(fleet.partition.machines["vm-2"]))
     fleet.partition.tick(26.0)
-    assert fleet.partition.machines["vm-0"].standing is Standing.LOST
+    assert fleet.partition.machines["vm-0"].state is MachineState.LEASE_EXPIRED
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 40.0, False)] == ["vm-0", "vm-1"]
-    token = fleet.partition.token(fleet.partition.machines["vm-0"])
+    token = fleet.partition.fencing_token(fleet.partition.machines["vm-0"])
     heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "big", "a", 2, 30, token, [])
     assert fleet.partition.on_heartbeat(heartbeat, 41.0) is not None  # it goes on in its next session
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 42.0, False)] == ["vm-1"]
@@ -99,17 +99,17 @@
 def test_a_machine_put_on_record_after_its_return_is_gone_at_once() -> None:
     fleet = Fleet(2)
     key = records.machine_key("a", "vm-9")
-    fleet.partition.returned("vm-9")
+    fleet.partition.on_released("vm-9")
     fleet.put(key, MachineRecord("big", False, "10.1.0.9:9000"))
     fleet.news([key])
-    assert fleet.partition.machines["vm-9"].standing is Standing.GONE
+    assert fleet.partition.machines["vm-9"].state is MachineState.RELEASED
 
 
 def test_before_the_records_are_read_only_cancelled_tasks_are_stopped() -> None:
     fleet = Fleet(3)
-    fleet.partition.ready = False
-    fleet.partition.cancelled_ago = lambda job: 1.0 if job == "job-0" else None
-    answers = [fleet.report(i, 5, fleet.partition.token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)]
+    fleet.partition.records_read = False
+    fleet.partition.time_since_cancellation = lambda job: 1.0 if job == "job-0" else None
+    answers = [fleet.report(i, 5, fleet.partition.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)]
     assert answers == [[wire.Command(wire.STOP, f"job-0/{n}", 1, 0.0) for n in range(4)], []]
 
 
@@ -122,6 +122,6 @@
     told = returns.unrecorded()
     assert told == ["vm-1"]  # the record of vm-7 is gone
     returns.hear("n1", {}, told)
-    assert fleet.partition.machines["vm-1"].standing is Standing.GONE
-    assert fleet.partition.machines["vm-0"].standing is Standing.KNOWN
-    assert len(fleet.partition.over) == 1  # its tasks may start elsewhere
+    assert fleet.partition.machines["vm-1"].state is MachineState.RELEASED
+    assert fleet.partition.machines["vm-0"].state is MachineState.ACTIVE
+    assert len(fleet.partition.terminal_attempts) == 1  # its tasks may start elsewhere
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,9 +14,9 @@
 
 from spurarch.coordination import best_fit as best_fit_module
 from spurarch.coordination.admission import Admission
-from spurarch.coordination.allocation_changes import merged
+from spurarch.coordination.allocation_changes import merge_changes
 from spurarch.coordination.best_fit import Draft, Need, Room, best_fit, fill, fitting
-from spurarch.coordination.machine import Phase
+from spurarch.coordination.machine import AttemptPhase, Machine
 from spurarch.coordination.membership import rate_shares
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.placing import Placer
@@ -85,11 +85,11 @@
             self.put(records.machine_key("a", f"vm-{i}"), MachineRecord("big", False, "10.1.0.1:9000"))
             self.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
             self.put(str(AllocationKey("a", f"job-{i}", 0)), self.allot(i, records.ASSIGNED))
-        self.partition.ready = True
+        self.partition.records_read = True
         self.news(list(self.state.entries))
         for i in range(machines):
             self.report(i, 1, 0)
-            self.report(i, 2, self.partition.token(self.partition.machines[f"vm-{i}"]))
+            self.report(i, 2, self.partition.fencing_token(self.partition.machines[f"vm-{i}"]))
 
     @staticmethod
     def allot(i: int, last: int) -> AllocationRecord:
@@ -105,7 +105,7 @@
     def news(self, keys: list[str]) -> None:
         """Has the tables follow changed records."""
         self.view.update()
-        self.partition.take_records(self.state, keys, 1.0)
+        self.partition.apply_records(self.state, keys, 1.0)
 
     @staticmethod
     def wire_report(i: int, seq: int, token: int) -> wire.Heartbeat:
@@ -123,12 +123,12 @@
     costs = []
     for machines in (20, 400, 4000):
         fleet = Fleet(machines)
-        token = fleet.partition.token(fleet.partition.machines["vm-3"])
+        token = fleet.partition.fencing_token(fleet.partition.machines["vm-3"])
         report = calls(lambda f=fleet, t=token: f.report(3, 3, t))  # type: ignore[misc]
         key = str(AllocationKey("a", "job-3", 0))
         fleet.put(key, Fleet.allot(3, records.ENDED))
         change = calls(lambda f=fleet, k=key: f.news([k]))  # type: ignore[misc]
-        ends = calls(lambda f=fleet: f.partition.ends(f.state, 0.0))  # type: ignore[misc]
+        ends = calls(lambda f=fleet: f.partition.terminal_entries(f.state, 0.0))  # type: ignore[misc]
         costs.append((report, change, ends))
     assert costs[0] == costs[1] == costs[2]
 
@@ -194,19 +194,24 @@
         key = str(AllocationKey("a", "job-0", 0))
         fleet.put(key, AllocationRecord(entries))
         fleet.news([key])
-        for attempt in list(fleet.partition.runs.values())[:ended]:
-            fleet.partition.step(attempt, Phase.EXITED, wire.REASON_DONE)
-        assert fleet.partition.ends(fleet.state, 3.0) == {}
-        costs.append(calls(lambda f=fleet: f.partition.ends(f.state, 3.0)))  # type: ignore[misc]
+        for attempt in list(fleet.partition.attempts.values())[:ended]:
+            fleet.partition.transition(attempt, AttemptPhase.EXITED, wire.REASON_DONE)
+        assert fleet.partition.terminal_entries(fleet.state, 3.0) == {}
+        costs.append(calls(lambda f=fleet: f.partition.terminal_entries(f.state, 3.0)))  # type: ignore[misc]
     assert costs[0] == costs[1]
 
 
 def test_a_report_that_shows_what_the_last_one_did_is_not_gone_through_again() -> None:
     fleet = Fleet(1)
-    token = fleet.partition.token(fleet.partition.machines["vm-0"])
+    token = fleet.partition.fencing_token(fleet.partition.machines["vm-0"])
     seen: list[str] = []
-    observe = fleet.partition._observe_task
-    fleet.partition._observe_task = lambda machine, task, now: seen.append(task.task) or observe(machine, task, now)  # type: ignore
+    observe = fleet.partition._apply_task_status
+
+    def counted(machine: Machine, task: wire.TaskStatus, now: float) -> None:
+        seen.append(task.task)
+        observe(machine, task, now)
+
+    fleet.partition._apply_task_status = counted  # type: ignore[method-assign]
     for seq in (3, 4, 5):
         fleet.report(0, seq, token)
     assert seen == []
@@ -220,27 +225,27 @@
 def test_a_report_is_occasion_for_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
     """While ends waited to be gathered, every report of any machine led to a round: 25 a second in a large partition."""
     fleet = Fleet(3)
-    token = fleet.partition.token(fleet.partition.machines["vm-1"])
-    before = fleet.partition.occasions
+    token = fleet.partition.fencing_token(fleet.partition.machines["vm-1"])
+    before = fleet.partition.scheduling_triggers
     fleet.report(1, 3, token)
-    assert fleet.partition.occasions == before
+    assert fleet.partition.scheduling_triggers == before
     ended = fleet.wire_report(1, 4, token)
     ended.tasks[0] = wire.TaskStatus("job-1/0", 1, "ended", "done")
     fleet.partition.on_heartbeat(ended, 2.0)
-    assert fleet.partition.occasions == before + 1
+    assert fleet.partition.scheduling_triggers == before + 1
     fleet.partition.on_heartbeat(wire.Heartbeat("vm-1", "10.1.0.1:9000", "big", "a", 1, 5, token, ended.tasks), 2.1)
-    fleet.report(2, 3, fleet.partition.token(fleet.partition.machines["vm-2"]))
-    assert fleet.partition.over
-    assert fleet.partition.occasions == before + 1
+    fleet.report(2, 3, fleet.partition.fencing_token(fleet.partition.machines["vm-2"]))
+    assert fleet.partition.terminal_attempts
+    assert fleet.partition.scheduling_triggers == before + 1
     fresh = wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 1, 0, [])
     fleet.partition.on_heartbeat(fresh, 2.2)
     fleet.partition.on_heartbeat(
-        wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.base + 99, []), 2.3
+        wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.lowest_token + 99, []), 2.3
     )
-    assert fleet.partition.occasions == before + 1  # a token that it was never given
-    shown = fleet.partition.token(fleet.partition.machines["vm-9"])
+    assert fleet.partition.scheduling_triggers == before + 1  # a token that it was never given
+    shown = fleet.partition.fencing_token(fleet.partition.machines["vm-9"])
     fleet.partition.on_heartbeat(wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, shown, []), 2.4)
-    assert fleet.partition.occasions == before + 2
+    assert fleet.partition.scheduling_triggers == before + 2
 
 
 def room(index: int, cpus: float, free: float, images: frozenset[int]) -> Room:
@@ -334,12 +339,14 @@
     record = AllocationRecord([TaskEntry(0, records.FREE, 1), TaskEntry(1, records.ASSIGNED, 2, "vm-1", 1)])
     start = TaskEntry(0, records.ASSIGNED, 2, "vm-1", 1)
     end = TaskEntry(1, records.ENDED, 2)
-    new = merged(record, {0: start, 1: end, 7: start})
+    new = merge_changes(record, {0: start, 1: end, 7: start})
     assert new is not None
     assert new.tasks == [start, end]
-    assert merged(record, {0: TaskEntry(0, records.ASSIGNED, 3, "vm-1", 1)}) is None  # decided for a later attempt
-    assert merged(record, {1: TaskEntry(1, records.ASSIGNED, 3, "vm-2", 1)}) is None  # it runs
-    assert merged(record, {0: TaskEntry(0, records.ENDED, 1)}) is None  # it never started
+    assert (
+        merge_changes(record, {0: TaskEntry(0, records.ASSIGNED, 3, "vm-1", 1)}) is None
+    )  # decided for a later attempt
+    assert merge_changes(record, {1: TaskEntry(1, records.ASSIGNED, 3, "vm-2", 1)}) is None  # it runs
+    assert merge_changes(record, {0: TaskEntry(0, records.ENDED, 1)}) is None  # it never started
 
 
 class Answering:
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -6,7 +6,7 @@
 
 from spurarch.coordination.command_sender import direct_connections
 from spurarch.coordination.controller import SOCKETS_RESERVED
-from spurarch.coordination.machine import Standing
+from spurarch.coordination.machine import MachineState
 from spurarch.coordination.release_candidates import cut_off, silent_machines
 from spurarch.coordination.stall_detector import GAP_S, StallDetector
 from spurarch.settings import Tuning, Workers
@@ -44,9 +44,9 @@
     fleet = Fleet(1)
     machine = fleet.partition.machines["vm-0"]
     fleet.partition.stop_job("job-0", 0.0)
-    heartbeat = fleet.wire_report(0, 3, fleet.partition.token(machine))
+    heartbeat = fleet.wire_report(0, 3, fleet.partition.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 2.0, commanding=False) == []
-    heartbeat = fleet.wire_report(0, 4, fleet.partition.token(machine))
+    heartbeat = fleet.wire_report(0, 4, fleet.partition.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 3.0)
 
 
@@ -63,16 +63,16 @@
     fleet = Fleet(10)
     workers = Workers(3.0, 18.0, 48.0)
     for i, machine in enumerate(fleet.partition.machines.values()):
-        machine.heard_at = 100.0 - 0.3 * i  # the cut begins at 100
+        machine.last_heartbeat_at = 100.0 - 0.3 * i  # the cut begins at 100
 
     def returned(now: float) -> int:
         cut = cut_off(fleet.partition, workers, now)
         return len(silent_machines(fleet.partition, Tuning(), workers, 26.0, now, cut))
 
     assert not any(returned(100.0 + n / 4) for n in range(60))
-    fleet.partition.machines["vm-9"].heard_at = 90.0
+    fleet.partition.machines["vm-9"].last_heartbeat_at = 90.0
     for machine in list(fleet.partition.machines.values())[:9]:
-        machine.heard_at = 100.0
+        machine.last_heartbeat_at = 100.0
     assert returned(101.0) == 1  # one alone is silent
 
 
@@ -84,6 +84,6 @@
     fleet = Fleet(10)
     for i, machine in enumerate(fleet.partition.machines.values()):
         if i:
-            machine.standing, machine.heard_at = Standing.UNKNOWN, None
+            machine.state, machine.last_heartbeat_at = MachineState.UNCONFIRMED, None
     assert not cut_off(fleet.partition, WORKERS, 6.0)  # the others may still be on their way to a new owner
     assert cut_off(fleet.partition, WORKERS, 30.0)
