--- a/spurarch/coordination/admission_writer.py
+++ b/spurarch/coordination/admission_writer.py
@@ -8,10 +8,10 @@
 
 import curio
 
-from spurarch.coordination.admission import Grant
+from spurarch.coordination.admission import AdmissionGrant
 from spurarch.coordination.allocation_changes import is_live
 from spurarch.coordination.membership import Membership
-from spurarch.coordination.team_ledger import Reservation
+from spurarch.coordination.team_ledger import QuotaReservation
 from spurarch.coordination.view import FleetView
 from spurarch.settings import StateLimits
 from spurarch.storage import records
@@ -68,10 +68,10 @@
         membership: Membership,
         view: FleetView,
         limits: StateLimits,
-        wake: Callable[[], Awaitable[None]],
+        notify_peers: Callable[[], Awaitable[None]],
     ) -> None:
         self.replica, self.membership, self.view = replica, membership, view
-        self._wake = wake
+        self._notify_peers = notify_peers
         self._admitting = False  # arrays, in a transaction that is under way
         self._record_tasks = records.tasks_per_record(limits.value_bytes)
         self._most_changes = limits.transaction_changes
@@ -86,7 +86,7 @@
         keys = [records.ADMISSION + job_id, *(str(allocation) for allocation in state.allocations.get(job_id, {}))]
         return {key: state.version(key) for key in keys}
 
-    async def admit_beside(self, grants: list[Grant], planned: dict[str, dict[str, int]]) -> None:
+    async def admit_beside(self, grants: list[AdmissionGrant], planned: dict[str, dict[str, int]]) -> None:
         """Admits arrays beside the rounds.
 
         They may stand in line for long, and replicas and gangs must not wait with them.
@@ -95,7 +95,7 @@
             self._admitting = True
             await curio.spawn(self._admit_arrays, grants, planned, daemon=True)
 
-    async def _admit_arrays(self, grants: list[Grant], planned: dict[str, dict[str, int]]) -> None:
+    async def _admit_arrays(self, grants: list[AdmissionGrant], planned: dict[str, dict[str, int]]) -> None:
         try:
             await self.admit(grants, planned, Urgency.STARTS)
         except curio.CancelledError:
@@ -105,9 +105,9 @@
         finally:
             self._admitting = False
 
-    async def admit(self, grants: list[Grant], planned: dict[str, dict[str, int]], urgency: Urgency) -> None:
+    async def admit(self, grants: list[AdmissionGrant], planned: dict[str, dict[str, int]], urgency: Urgency) -> None:
         """Carries out grants whose plan still stands, in as few transactions as the limits allow."""
-        by_job: dict[str, list[Grant]] = {}
+        by_job: dict[str, list[AdmissionGrant]] = {}
         for grant in grants:
             by_job.setdefault(grant.job, []).append(grant)
         batch = _Batch()
@@ -122,19 +122,19 @@
         if batch.changes:
             await self._commit(batch, urgency)
 
-    def _change(self, job_id: str, grants: list[Grant], planned: dict[str, int]) -> JobAdmission | None:
+    def _change(self, job_id: str, grants: list[AdmissionGrant], planned: dict[str, int]) -> JobAdmission | None:
         """What the admission of one job writes; None if its plan does not stand any more."""
         if not is_live(self.replica.state, job_id) or not self._stands(job_id, grants, planned):
             return None
         return self._job_admission(job_id, grants)
 
-    def _stands(self, job_id: str, grants: list[Grant], planned: dict[str, int]) -> bool:
+    def _stands(self, job_id: str, grants: list[AdmissionGrant], planned: dict[str, int]) -> bool:
         """What the plan for a job was decided by has not changed: its count, and the allocations that lose tasks."""
         state = self.replica.state
         keys = {records.ADMISSION + job_id, *(str(source) for grant in grants for source in grant.moved)}
         return all(state.version(key) == planned.get(key, 0) for key in keys)
 
-    def _job_admission(self, job_id: str, grants: list[Grant]) -> JobAdmission:
+    def _job_admission(self, job_id: str, grants: list[AdmissionGrant]) -> JobAdmission:
         """The job's count, its new allocations, and the old ones that lose tasks; as many as one transaction takes.
 
         A job that is admitted as a whole needs no count: its allocations stay until it is over, and a late repeat of
@@ -209,16 +209,16 @@
         result = await self.replica.commit(batch.writes, guards, urgency=urgency, pinned={records.LEADER: term})
         self._settle(reservations, result)
         if result.status is TransactionStatus.COMMITTED:
-            await self._wake()
+            await self._notify_peers()
         elif result.status is not TransactionStatus.NOT_EXECUTED:
             log.info("leader transaction: %s %s", result.status.value, result.failed_keys)
 
-    def _reserve(self, batch: _Batch, term: int) -> list[Reservation]:
+    def _reserve(self, batch: _Batch, term: int) -> list[QuotaReservation]:
         """Charges the batch to its teams; what a limit does not allow any more leaves the batch, to be planned again."""
         ledger, kept, reservations = self.view.ledger, [], []
         for change in batch.changes:
             job = self.view.jobs[change.job]
-            reservation = ledger.reserve(change.job, job.team, job.charge_each, change.tasks, term)
+            reservation = ledger.reserve(change.job, job.team, job.charge_per_task, change.tasks, term)
             self._log_admission(change, term, reservation is not None)
             if reservation is None:
                 continue
@@ -244,7 +244,7 @@
                 self.view.ledger.describe(team),
             )
 
-    def _settle(self, reservations: list[Reservation], result: TransactionResult) -> None:
+    def _settle(self, reservations: list[QuotaReservation], result: TransactionResult) -> None:
         """Releases reservations once the table shows what became of the transaction; until then they stand.
 
         A conflict may mean that an earlier copy of the transaction was carried out whose answer was lost.
@@ -256,4 +256,4 @@
             if certain or shown:
                 self.view.ledger.release(reservation)
             elif result.status is TransactionStatus.CONFLICT:
-                reservation.shown_by = result.revision
+                reservation.resolved_by_revision = result.revision
--- a/spurarch/coordination/best_fit.py
+++ b/spurarch/coordination/best_fit.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Need:
+class Requirements:
     """What one task takes, and where it may run."""
 
     cpus: float
@@ -36,7 +36,7 @@
         """What decides where a task can be, whatever its image and priority: like tasks have the same."""
         return self.cpus, self.gpus, self.memory_gb, self.spot, self.types, self.zones
 
-    def asks_no_less(self, other: Need) -> bool:
+    def requires_at_least(self, other: Requirements) -> bool:
         """Where there is nothing for the other task, there is nothing for this one."""
         return (
             other.cpus <= self.cpus
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class MachineCapacity:
     """A machine as the decisions see it."""
 
     machine: int
@@ -64,70 +64,70 @@
     free_memory_gb: float
     images: set[int] = field(default_factory=set)
     tasks: int = 0
-    open: bool = True
+    schedulable: bool = True
     by_priority: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(PRIORITIES)])
 
-    def take(self, need: Need, count: int = 1) -> None:
+    def book(self, requirements: Requirements, count: int = 1) -> None:
         """Books tasks; a negative count takes bookings back."""
-        cpus, gpus, memory = need.cpus * count, need.gpus * count, need.memory_gb * count
+        cpus, gpus, memory = requirements.cpus * count, requirements.gpus * count, requirements.memory_gb * count
         self.free_cpus -= cpus
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
         self.tasks += count
-        used = self.by_priority[need.priority]
+        used = self.by_priority[requirements.priority]
         used[0] += cpus
         used[1] += gpus
         used[2] += memory
 
-    def give(self, need: Need, count: int = 1) -> None:
+    def unbook(self, requirements: Requirements, count: int = 1) -> None:
         """Takes bookings back."""
-        self.take(need, -count)
+        self.book(requirements, -count)
 
-    def copy(self) -> Room:
+    def copy(self) -> MachineCapacity:
         """A table of its own for a plan to change."""
         return replace(self, by_priority=[list(used) for used in self.by_priority])
 
-    def fits_by_preemption(self, need: Need) -> bool:
+    def fits_by_preemption(self, requirements: Requirements) -> bool:
         """The task would fit if work of lower priority left."""
         cpus, gpus, memory = self.free_cpus, self.free_gpus, self.free_memory_gb
-        for used in self.by_priority[need.priority + 1 :]:
+        for used in self.by_priority[requirements.priority + 1 :]:
             cpus += used[0]
             gpus += used[1]
             memory += used[2]
         return (
-            need.cpus <= cpus + EPSILON
-            and need.gpus <= gpus + EPSILON
-            and need.memory_gb <= memory + EPSILON
-            and self.allows(need)
+            requirements.cpus <= cpus + EPSILON
+            and requirements.gpus <= gpus + EPSILON
+            and requirements.memory_gb <= memory + EPSILON
+            and self.allows(requirements)
         )
 
-    def allows(self, need: Need) -> bool:
+    def allows(self, requirements: Requirements) -> bool:
         """The task may run on this kind of machine, full or not."""
         return (
-            (need.types is None or self.type in need.types)
-            and (need.spot or not self.spot)
-            and (need.zones is None or self.zone in need.zones)
+            (requirements.types is None or self.type in requirements.types)
+            and (requirements.spot or not self.spot)
+            and (requirements.zones is None or self.zone in requirements.zones)
         )
 
-    def fits(self, need: Need) -> bool:
+    def fits(self, requirements: Requirements) -> bool:
         """The task may run here and there is room."""
         return (
-            need.cpus <= self.free_cpus + EPSILON
-            and need.memory_gb <= self.free_memory_gb + EPSILON
-            and need.gpus <= self.free_gpus + EPSILON
-            and self.allows(need)
+            requirements.cpus <= self.free_cpus + EPSILON
+            and requirements.memory_gb <= self.free_memory_gb + EPSILON
+            and requirements.gpus <= self.free_gpus + EPSILON
+            and self.allows(requirements)
         )
 
-    def could_hold(self, need: Need) -> bool:
+    def fits_when_empty(self, requirements: Requirements) -> bool:
         """The task would fit here if the machine were empty."""
         return (
-            need.cpus <= self.cpus + EPSILON
-            and need.memory_gb <= self.memory_gb + EPSILON
-            and need.gpus <= self.gpus + EPSILON
-            and self.allows(need)
+            requirements.cpus <= self.cpus + EPSILON
+            and requirements.memory_gb <= self.memory_gb + EPSILON
+            and requirements.gpus <= self.gpus + EPSILON
+            and self.allows(requirements)
         )
 
-    def slots_without_arrays(self, need: Need, most: int) -> int:
+    def slots_after_preemption(self, requirements: Requirements, most: int) -> int:
         """How many such tasks would fit once all but the most urgent work, which runs on and on, has ended."""
         others = self.by_priority[1:]
         emptied = replace(
@@ -136,21 +136,21 @@
             free_gpus=self.free_gpus + sum(used[1] for used in others),
             free_memory_gb=self.free_memory_gb + sum(used[2] for used in others),
         )
-        return emptied.slots(need, most) if self.allows(need) else 0
+        return emptied.task_slots(requirements, most) if self.allows(requirements) else 0
 
-    def slots(self, need: Need, most: int) -> int:
+    def task_slots(self, requirements: Requirements, most: int) -> int:
         """How many such tasks fit, `most` at most."""
         count = float(most)
-        if need.cpus > 0:
-            count = min(count, (self.free_cpus + EPSILON) // need.cpus)
-        if need.memory_gb > 0:
-            count = min(count, (self.free_memory_gb + EPSILON) // need.memory_gb)
-        if need.gpus > 0:
-            count = min(count, (self.free_gpus + EPSILON) // need.gpus)
+        if requirements.cpus > 0:
+            count = min(count, (self.free_cpus + EPSILON) // requirements.cpus)
+        if requirements.memory_gb > 0:
+            count = min(count, (self.free_memory_gb + EPSILON) // requirements.memory_gb)
+        if requirements.gpus > 0:
+            count = min(count, (self.free_gpus + EPSILON) // requirements.gpus)
         return max(0, int(count))
 
 
-class Draft:
+class TentativeBookings:
     """Bookings that a plan makes on shared tables, undone when it is made: cheaper than a copy of every table.
 
     Nothing may wait between the first booking and the undoing.
@@ -159,108 +159,117 @@
     __slots__ = ("_booked",)
 
     def __init__(self) -> None:
-        self._booked: list[tuple[Room, Need, int]] = []
+        self._booked: list[tuple[MachineCapacity, Requirements, int]] = []
 
-    def take(self, room: Room, need: Need, count: int = 1) -> None:
+    def book(self, capacity: MachineCapacity, requirements: Requirements, count: int = 1) -> None:
         """Books tasks, or takes bookings back with a negative count."""
-        room.take(need, count)
-        self._booked.append((room, need, count))
+        capacity.book(requirements, count)
+        self._booked.append((capacity, requirements, count))
 
     def undo(self) -> None:
         """Leaves the tables as they were."""
         while self._booked:
-            room, need, count = self._booked.pop()
-            room.take(need, -count)
+            capacity, requirements, count = self._booked.pop()
+            capacity.book(requirements, -count)
 
 
-def fitting(need: Need, rooms: Iterable[Room]) -> list[Room]:
+def fitting(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> list[MachineCapacity]:
     """The machines where such a task may run and has room.
 
     Says what `Room.fits` says of each, in one expression: this is asked of every machine for every kind of task, and
     calls were most of what it cost.
     """
-    cpus, gpus, memory = need.cpus - EPSILON, need.gpus - EPSILON, need.memory_gb - EPSILON
-    types, zones, spot = need.types, need.zones, need.spot
+    cpus, gpus, memory = requirements.cpus - EPSILON, requirements.gpus - EPSILON, requirements.memory_gb - EPSILON
+    types, zones, spot = requirements.types, requirements.zones, requirements.spot
     return [
-        room
-        for room in rooms
-        if room.free_cpus >= cpus
-        and room.free_memory_gb >= memory
-        and room.free_gpus >= gpus
-        and (spot or not room.spot)
-        and (types is None or room.type in types)
-        and (zones is None or room.zone in zones)
+        capacity
+        for capacity in capacities
+        if capacity.free_cpus >= cpus
+        and capacity.free_memory_gb >= memory
+        and capacity.free_gpus >= gpus
+        and (spot or not capacity.spot)
+        and (types is None or capacity.type in types)
+        and (zones is None or capacity.zone in zones)
     ]
 
 
-def _order(need: Need) -> Callable[[Room], tuple[bool, float, float]]:
+def _order(requirements: Requirements) -> Callable[[MachineCapacity], tuple[bool, float, float]]:
     """Best fit: machines with the image, then the fullest, then the smallest."""
-    cpus, image = need.cpus, need.image
+    cpus, image = requirements.cpus, requirements.image
 
-    def key(room: Room) -> tuple[bool, float, float]:
-        fullness = 1.0 - (room.free_cpus - cpus) / room.cpus if room.cpus else 1.0
-        return image not in room.images, -round(fullness, 6), room.cpus
+    def key(capacity: MachineCapacity) -> tuple[bool, float, float]:
+        fullness = 1.0 - (capacity.free_cpus - cpus) / capacity.cpus if capacity.cpus else 1.0
+        return image not in capacity.images, -round(fullness, 6), capacity.cpus
 
     return key
 
 
-def best_fit(need: Need, rooms: Iterable[Room]) -> Room | None:
+def best_fit(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> MachineCapacity | None:
     """The machine for a newcomer, or None if none fits."""
-    return min(fitting(need, rooms), key=_order(need), default=None)
+    return min(fitting(requirements, capacities), key=_order(requirements), default=None)
 
 
-def fill(need: Need, rooms: Iterable[Room], count: int, draft: Draft) -> list[tuple[Room, int]]:
+def fill(
+    requirements: Requirements, capacities: Iterable[MachineCapacity], count: int, bookings: TentativeBookings
+) -> list[tuple[MachineCapacity, int]]:
     """Books up to `count` equal tasks by best fit; says how many went where."""
-    out: list[tuple[Room, int]] = []
+    out: list[tuple[MachineCapacity, int]] = []
     if count == 1:
-        room = best_fit(need, rooms)
-        if room is not None:
-            draft.take(room, need)
-            out.append((room, 1))
+        capacity = best_fit(requirements, capacities)
+        if capacity is not None:
+            bookings.book(capacity, requirements)
+            out.append((capacity, 1))
         return out
-    for room in sorted(fitting(need, rooms), key=_order(need)):
+    for capacity in sorted(fitting(requirements, capacities), key=_order(requirements)):
         if count <= 0:
             break
-        taken = room.slots(need, count)
-        draft.take(room, need, taken)
-        out.append((room, taken))
+        taken = capacity.task_slots(requirements, count)
+        bookings.book(capacity, requirements, taken)
+        out.append((capacity, taken))
         count -= taken
     return out
 
 
-def all_fit(need: Need, rooms: Iterable[Room], count: int) -> bool:
+def all_fit(requirements: Requirements, capacities: Iterable[MachineCapacity], count: int) -> bool:
     """Whether `count` such tasks fit at once."""
-    for room in rooms:
+    for capacity in capacities:
         if count <= 0:
             break
-        if room.fits(need):
-            count -= room.slots(need, count)
+        if capacity.fits(requirements):
+            count -= capacity.task_slots(requirements, count)
     return count <= 0
 
 
-def gathering(need: Need, rooms: Iterable[Room]) -> Room | None:
+def machine_to_reserve(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> MachineCapacity | None:
     """The machine to keep free of newcomers so that room for a large task gathers: the one with the most of it.
 
     As its tasks end it stays the one with the most room, so the choice lasts from round to round.
     """
-    able = (room for room in rooms if room.could_hold(need))
-    return max(able, key=lambda room: (room.free_cpus, -room.machine), default=None)
+    able = (capacity for capacity in capacities if capacity.fits_when_empty(requirements))
+    return max(able, key=lambda capacity: (capacity.free_cpus, -capacity.machine), default=None)
 
 
-def gathering_rooms(need: Need, rooms: Iterable[Room], count: int) -> list[Room]:
+def machines_to_reserve(
+    requirements: Requirements, capacities: Iterable[MachineCapacity], count: int
+) -> list[MachineCapacity]:
     """Machines to keep free of newcomers so that room for `count` tasks gathers on them; none if it never would.
 
     Those with the image come first, then those with the most room already: fewer tasks have to end there.
     """
     able = sorted(
-        (room for room in rooms if room.allows(need)),
-        key=lambda room: (need.image not in room.images, -room.slots(need, count), -room.cpus, room.machine),
+        (capacity for capacity in capacities if capacity.allows(requirements)),
+        key=lambda capacity: (
+            requirements.image not in capacity.images,
+            -capacity.task_slots(requirements, count),
+            -capacity.cpus,
+            capacity.machine,
+        ),
     )
-    out: list[Room] = []
-    for room in able:
-        slots = room.slots_without_arrays(need, count)
+    out: list[MachineCapacity] = []
+    for capacity in able:
+        slots = capacity.slots_after_preemption(requirements, count)
         if slots:
-            out.append(room)
+            out.append(capacity)
             count -= slots
         if count <= 0:
             return out
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -205,7 +205,7 @@
         await curio.sleep(ROUNDS_AFTER_S)
         leader = self._leader()
         async with curio.TaskGroup(wait=any) as group:
-            for task in (leader.run, leader.run_ends, leader.run_cloud):
+            for task in (leader.run, leader.run_finalizer, leader.run_scaling):
                 await group.spawn(self._guarded, task)
 
     def _leader(self) -> Leader:
--- a/spurarch/coordination/job_ends.py
+++ b/spurarch/coordination/job_ends.py
@@ -18,7 +18,7 @@
 MOST_ENDED = 200  # jobs looked at in one round
 
 
-class JobEnds:
+class JobFinalizer:
     """Records final standings; only the leader may, and each transaction guards its record."""
 
     def __init__(self, replica: Replica, view: FleetView, limits: StateLimits) -> None:
@@ -34,11 +34,11 @@
         self._changed_keys.clear()
         self._jobs = dict.fromkeys(self._replica.state.jobs)
 
-    def forget_news(self) -> None:
+    def discard_changes(self) -> None:
         """Another one leads: the news would gather, and a new leader looks at all jobs in any case."""
         self._changed_keys.clear()
 
-    async def end_jobs(self) -> None:
+    async def finalize_jobs(self) -> None:
         """Records the final standing of jobs whose tasks have all ended, and of cancelled ones that are off.
 
         Only jobs of which something changed are looked at, and several go out in one transaction.
@@ -53,7 +53,7 @@
         guards: set[str] = set()
         refs: list[str] = []
         for job_id in list(self._jobs)[:MOST_ENDED]:
-            final = self.final(job_id)
+            final = self.final_record(job_id)
             if final is None:
                 del self._jobs[job_id]
                 continue
@@ -62,7 +62,7 @@
             if batch and too_many:
                 await self._commit_ends(batch, guards, refs)
                 batch, guards, refs = [], set(), []
-                final = self.final(job_id)
+                final = self.final_record(job_id)
                 if final is None:
                     continue
                 writes, more = self._final_writes(job_id, final)
@@ -76,13 +76,13 @@
         result = await self._replica.commit(writes, [records.LEADER, *guards])
         if result.status is TransactionStatus.INVALID and len(refs) > 1:
             for job_id in refs:  # one job that can't be ended must not keep the others from it
-                final = self.final(job_id)
+                final = self.final_record(job_id)
                 if final is not None:
                     alone, more = self._final_writes(job_id, final)
                     await self._commit_ends(alone, more, [job_id])
         log.debug("%d jobs end: %s", len(refs), result.status.value)
 
-    def final(self, job_id: str) -> FinalRecord | None:
+    def final_record(self, job_id: str) -> FinalRecord | None:
         """The standing of a job that is over, or None."""
         state = self._replica.state
         record = state.jobs.get(job_id)
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -8,9 +8,9 @@
 
 import curio
 
-from spurarch.coordination.admission import Admission, Plan, Shortage
+from spurarch.coordination.admission import AdmissionPlan, AdmissionPlanner, CapacityShortage
 from spurarch.coordination.admission_writer import AdmissionWriter
-from spurarch.coordination.job_ends import JobEnds
+from spurarch.coordination.job_ends import JobFinalizer
 from spurarch.coordination.ledger_audit import LedgerAudit
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.renting import Renting
@@ -43,17 +43,19 @@
         stall_detector: StallDetector,
         deployment: Deployment,
         tuning: Tuning,
-        boot: str,
-        wake: Callable[[], Awaitable[None]],
+        process_incarnation: str,
+        notify_peers: Callable[[], Awaitable[None]],
     ) -> None:
         self.replica, self.membership, self.view = replica, membership, view
         self.deployment, self.tuning = deployment, tuning
         self._wakeup = replica.listen()
-        self._admissions = AdmissionWriter(replica, membership, view, deployment.state, wake)
-        self._ends = JobEnds(replica, view, deployment.state)
-        self._renting = Renting(replica, membership, view, cloud, stall_detector, deployment, tuning, boot)
+        self._admissions = AdmissionWriter(replica, membership, view, deployment.state, notify_peers)
+        self._finalizer = JobFinalizer(replica, view, deployment.state)
+        self._scale_out = Renting(
+            replica, membership, view, cloud, stall_detector, deployment, tuning, process_incarnation
+        )
         self._next_job: str | None = None
-        self._shortages_so_far: list[Shortage] = []
+        self._shortages_so_far: list[CapacityShortage] = []
         self._term: int | None = None  # under which the rounds go on
         self._audit = LedgerAudit(view)
         self._next_log = self._next_full = 0.0
@@ -64,23 +66,23 @@
             await self._wakeup.wait()
             self._wakeup.clear()
             try:
-                await self._lead()
+                await self._run_if_leading()
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
                 log.exception("leader round failed")
             await curio.sleep(0.01)
 
-    async def _lead(self) -> None:
+    async def _run_if_leading(self) -> None:
         """One round, if this process leads and its copy of the records is as new as its term."""
         term = self.membership.confirmed_term
         if term is None and self.membership.leading and self.replica.loaded:
             await self.replica.sync()
             term = self.membership.confirmed_term
-        if term is None or not self.view.offers:
+        if term is None or not self.view.machine_types:
             self._term = None
-            self._renting.end_term()
-            self._ends.forget_news()
+            self._scale_out.end_term()
+            self._finalizer.discard_changes()
             return
         if self._term != term:
             self._begin_term(term)
@@ -88,8 +90,8 @@
 
     def _begin_term(self, term: int) -> None:
         self._term = term
-        self._renting.begin_term(term)
-        self._ends.begin_term()
+        self._scale_out.begin_term(term)
+        self._finalizer.begin_term()
         self._next_job, self._shortages_so_far = None, []
         self.view.update()
         self._audit.check_all()
@@ -102,41 +104,41 @@
         share = self.deployment.limits.cpu
         budget = RoundBudget(self.tuning.budget_ms / 1000, share)
         self.view.update()
-        self.view.ledger.release_shown(self.replica.state.revision, term)
+        self.view.ledger.release_resolved(self.replica.state.revision, term)
         scarce = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
-        admission = Admission(
+        admission = AdmissionPlanner(
             self.view,
             time.time(),
             self.tuning.ahead_s,
             self.tuning.longest_wait_s,
-            self._renting.coming(now),
+            self._scale_out.coming(now),
             max(1, round(PIECE * scarce)),
         )
         plan = admission.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
         # A share of the processor at most, however much there is to admit.
         ended = time.monotonic()
         self._next_full = ended + rest_s(ended - now, share, ROUND_REST, ROUND_PAUSE_S)
-        self._note_shortages(plan)
+        self._record_shortages(plan)
         urgent = [grant for grant in plan.grants if not self.view.jobs[grant.job].array]
         arrays = [grant for grant in plan.grants if self.view.jobs[grant.job].array]
         planned = {grant.job: self._admissions.as_planned(grant.job) for grant in plan.grants}
         await self._admissions.admit(urgent, planned, Urgency.REPLICAS)
         await self._admissions.admit_beside(arrays, planned)
 
-    def _note_shortages(self, plan: Plan) -> None:
+    def _record_shortages(self, plan: AdmissionPlan) -> None:
         """What all rounds from the first job to the last found short, so that a plan cut off by time rents no less."""
         self._shortages_so_far += plan.shortages
-        if plan.next_job is None or not self._renting.shortages:
-            self._renting.shortages = self._shortages_so_far
+        if plan.next_job is None or not self._scale_out.shortages:
+            self._scale_out.shortages = self._shortages_so_far
         if plan.next_job is None or self._next_job is None:
             self._shortages_so_far = [] if plan.next_job is None else plan.shortages
         self._next_job = plan.next_job
 
-    async def run_cloud(self) -> None:
+    async def run_scaling(self) -> None:
         """Prices on every controller; rentals and the machine list while this one leads."""
-        await self._renting.run()
+        await self._scale_out.run()
 
-    async def run_ends(self) -> None:
+    async def run_finalizer(self) -> None:
         """Ends of jobs have rounds of their own.
 
         When changes are short they wait in line, and admission must not wait with them.
@@ -148,7 +150,7 @@
                     self.view.update()
                     self._audit.check_some(time.monotonic())
                     self._log_teams(time.monotonic())
-                    await self._ends.end_jobs()
+                    await self._finalizer.finalize_jobs()
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
--- a/spurarch/coordination/ledger_audit.py
+++ b/spurarch/coordination/ledger_audit.py
@@ -57,7 +57,7 @@
     def _end(self) -> None:
         """The jobs are equal by now; what the teams are charged with has to be their sum."""
         self._check_totals()
-        for team in self._view.ledger.stopped:
+        for team in self._view.ledger.suspended:
             if team not in self._differed:
                 self._view.ledger.resume(team)
         self._under_way = False
@@ -80,24 +80,24 @@
     def _differs(self, job_id: str, job: JobView | None, charged: int) -> None:
         view = self._view
         booked = job.charged if job is not None else 0
-        view.ledger.violations.note(f"{job_id} is charged with {booked} tasks, and has {charged} on record")
-        view.take_again(job_id)
+        view.ledger.violations.record(f"{job_id} is charged with {booked} tasks, and has {charged} on record")
+        view.rebook_job(job_id)
         team = view.jobs[job_id].team
         self._differed.add(team)
-        view.ledger.stop(team, "its charges were not those on record")
+        view.ledger.suspend(team, "its charges were not those on record")
 
     def _check_totals(self) -> None:
         view = self._view
         cpus, gpus = defaultdict[int, int](int), defaultdict[int, int](int)
         for job in view.jobs.values():
-            cpus[job.team] += job.charge_each.cpus * job.charged
-            gpus[job.team] += job.charge_each.gpus * job.charged
-        for team in view.limits:
+            cpus[job.team] += job.charge_per_task.cpus * job.charged
+            gpus[job.team] += job.charge_per_task.gpus * job.charged
+        for team in view.quotas:
             fresh, kept = Charge(cpus[team], gpus[team]), view.ledger.recorded(team)
             if fresh != kept:
-                view.ledger.violations.note(
-                    f"team {view.limits[team].name} is charged with {kept}, its jobs with {fresh}"
+                view.ledger.violations.record(
+                    f"team {view.quotas[team].name} is charged with {kept}, its jobs with {fresh}"
                 )
-                view.ledger.change(team, fresh - kept)
+                view.ledger.adjust(team, fresh - kept)
                 self._differed.add(team)
-                view.ledger.stop(team, "its total was not that of its jobs")
+                view.ledger.suspend(team, "its total was not that of its jobs")
--- a/spurarch/coordination/local_search.py
+++ b/spurarch/coordination/local_search.py
@@ -7,7 +7,7 @@
 from math import floor
 from random import Random
 
-from spurarch.coordination.best_fit import Room, best_fit
+from spurarch.coordination.best_fit import MachineCapacity, best_fit
 from spurarch.coordination.machine import AttemptPhase, MachineState, TaskAttempt
 from spurarch.coordination.partition import Partition
 from spurarch.coordination.tabu import Replica, Search, SearchResult, Weights
@@ -56,19 +56,19 @@
 ) -> Refinement:
     """One round of a part."""
     out = Refinement()
-    names, rooms, tasks, attempts = _tables(partition, view, tuning)
+    names, capacities, tasks, attempts = _tables(partition, view, tuning)
     if tuning.consolidation_cap > 0 and not partition.unassigned:
-        out.empty = _to_empty(partition, names, rooms, tasks, tuning, now)
+        out.empty = _to_empty(partition, names, capacities, tasks, tuning, now)
     emptying = frozenset(i for i, name in enumerate(names) if partition.machines[name].draining or name == out.empty)
     if out.empty is not None:
-        out.moves += _move_off(names, rooms, tasks, attempts, names.index(out.empty), emptying, tuning)
+        out.moves += _move_off(names, capacities, tasks, attempts, names.index(out.empty), emptying, tuning)
     if any(t.movable for t in tasks) and len(out.moves) < tuning.moves_per_round:
         weights = Weights(tuning.edge_weight, tuning.imbalance_weight, tuning.move_weight)
-        search = Search(rooms, tasks, emptying, weights)
+        search = Search(capacities, tasks, emptying, weights)
         out.search = search.run(
             random,
             tuning.tabu_iterations,
-            tuning.tabu_patience,
+            tuning.tabu_stall_limit,
             tuning.tabu_tenure,
             tuning.moves_per_round - len(out.moves),
             tuning.margin,
@@ -80,19 +80,19 @@
 
 def _tables(
     partition: Partition, view: FleetView, tuning: Tuning
-) -> tuple[list[str], list[Room], list[Replica], list[TaskAttempt]]:
+) -> tuple[list[str], list[MachineCapacity], list[Replica], list[TaskAttempt]]:
     """Dense tables of the part's machines and of the tasks on them."""
     names: list[str] = []
-    rooms: list[Room] = []
-    for room in view.zone_rooms[view.zones.index(partition.zone)].values():
-        name = view.machines.name(room.machine)
+    capacities: list[MachineCapacity] = []
+    for capacity in view.capacities_by_zone[view.zones.index(partition.zone)].values():
+        name = view.machines.name(capacity.machine)
         machine = partition.machines.get(name)
         if machine is not None and machine.state is MachineState.ACTIVE and not machine.releasing:
             names.append(name)
-            copy = room.copy()
+            copy = capacity.copy()
             # The records only say that a task with the image was sent there; it may never have been fetched whole.
             copy.images = machine.cached_images
-            rooms.append(copy)
+            capacities.append(copy)
     index = {name: i for i, name in enumerate(names)}
     free_to_move = movable(partition, view, tuning)
     tasks: list[Replica] = []
@@ -101,27 +101,32 @@
         job = view.jobs.get(attempt.allocation.job)
         if job is not None and attempt.machine in index and attempt.phase < AttemptPhase.EXITED:
             at = index[attempt.machine]
-            tasks.append(Replica(len(attempts), job.need, at, at, key in free_to_move, job.service or job.gang))
+            tasks.append(Replica(len(attempts), job.requirements, at, at, key in free_to_move, job.service or job.gang))
             attempts.append(attempt)
     for i, name in enumerate(names):
         if not partition.machines[name].schedulable:
-            rooms[i].free_cpus = -1.0  # takes nothing
-    return names, rooms, tasks, attempts
+            capacities[i].free_cpus = -1.0  # takes nothing
+    return names, capacities, tasks, attempts
 
 
 def _to_empty(
-    partition: Partition, names: list[str], rooms: list[Room], tasks: list[Replica], tuning: Tuning, now: float
+    partition: Partition,
+    names: list[str],
+    capacities: list[MachineCapacity],
+    tasks: list[Replica],
+    tuning: Tuning,
+    now: float,
 ) -> str | None:
     """The least booked machine, if all that must leave it may, and the rest stays under the cap of booked CPU."""
     open_rooms = [i for i, name in enumerate(names) if partition.machines[name].is_schedulable(now)]
-    booked = sum(rooms[i].cpus - rooms[i].free_cpus for i in open_rooms)
-    total = sum(rooms[i].cpus for i in open_rooms)
+    booked = sum(capacities[i].cpus - capacities[i].free_cpus for i in open_rooms)
+    total = sum(capacities[i].cpus for i in open_rooms)
     owned: dict[int, list[Replica]] = {}
     for task in tasks:
         owned.setdefault(task.at, []).append(task)
-    for i in sorted(open_rooms, key=lambda i: rooms[i].cpus - rooms[i].free_cpus):
+    for i in sorted(open_rooms, key=lambda i: capacities[i].cpus - capacities[i].free_cpus):
         mine = owned.get(i, [])
-        if not mine or booked > tuning.consolidation_cap * (total - rooms[i].cpus):
+        if not mine or booked > tuning.consolidation_cap * (total - capacities[i].cpus):
             continue
         if all(t.movable or not t.service for t in mine):
             return names[i]
@@ -130,7 +135,7 @@
 
 def _move_off(
     names: list[str],
-    rooms: list[Room],
+    capacities: list[MachineCapacity],
     tasks: list[Replica],
     attempts: list[TaskAttempt],
     source: int,
@@ -142,11 +147,15 @@
     for task in tasks:
         if task.at != source or not task.movable or len(out) >= tuning.moves_per_round:
             continue
-        targets = [r for i, r in enumerate(rooms) if i not in emptying and r.tasks > 0 and task.need.image in r.images]
-        room = best_fit(task.need, targets)
-        if room is not None:
-            room.take(task.need)
-            rooms[source].give(task.need)
+        targets = [
+            r
+            for i, r in enumerate(capacities)
+            if i not in emptying and r.tasks > 0 and task.requirements.image in r.images
+        ]
+        capacity = best_fit(task.requirements, targets)
+        if capacity is not None:
+            capacity.book(task.requirements)
+            capacities[source].unbook(task.requirements)
             task.movable = False
-            out.append((attempts[task.task], names[rooms.index(room)]))
+            out.append((attempts[task.task], names[capacities.index(capacity)]))
     return out
--- a/spurarch/coordination/owned_partition.py
+++ b/spurarch/coordination/owned_partition.py
@@ -11,7 +11,7 @@
 from spurarch.settings import Tuning
 
 if TYPE_CHECKING:
-    from spurarch.coordination.placing import Placer
+    from spurarch.coordination.placing import TaskPlacer
 
 
 class OwnedPartition:
@@ -35,8 +35,8 @@
         self.cut_since: float | None = None  # most machines are silent
 
     @cached_property
-    def placer(self) -> Placer:
+    def placer(self) -> TaskPlacer:
         """Places new tasks here; loaded with the first round, since answers to workers don't need it."""
-        from spurarch.coordination.placing import Placer
+        from spurarch.coordination.placing import TaskPlacer
 
-        return Placer(self._tuning.longest_wait_s, self._tuning.guarantee_wait_s, self._silent_s)
+        return TaskPlacer(self._tuning.longest_wait_s, self._tuning.guarantee_wait_s, self._silent_s)
--- a/spurarch/coordination/partition.py
+++ b/spurarch/coordination/partition.py
@@ -14,7 +14,7 @@
 from spurarch.coordination.failures import FailureAttribution, JobBackoff
 from spurarch.coordination.gang import Gangs, GangState
 from spurarch.coordination.machine import AttemptPhase, Machine, MachineState, TaskAttempt, observed_phase
-from spurarch.coordination.violations import Violations
+from spurarch.coordination.violations import InvariantViolations
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord, MachineRecord, TaskEntry
@@ -57,11 +57,11 @@
         lease_s: float,
         now: float,
         image_of: Callable[[str], int | None],
-        violations: Violations | None = None,
+        violations: InvariantViolations | None = None,
     ) -> None:
         self.zone, self.epoch, self.lease_s = zone, epoch, lease_s
         self._image_of = image_of
-        self._violations = violations or Violations()
+        self._violations = violations or InvariantViolations()
         self.claimed_at = self.now = now
         self.capacity_added_at = now  # when a machine last became known
         self.machines: dict[str, Machine] = {}
@@ -522,7 +522,7 @@
         if not self.may_start():
             return False
         if self._attempts_by_allocation.get(attempt.allocation, {}).get(attempt.index) is not attempt:
-            self._violations.note(f"{attempt.key} would start on {attempt.machine} without a task on record")
+            self._violations.record(f"{attempt.key} would start on {attempt.machine} without a task on record")
             return False
         gang = self.gangs.get(attempt.allocation.job)
         return gang is None or gang.startable
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -114,7 +114,7 @@
         ):
             return 421, wire.encode(wire.Redirect(heard[0]))  # a peer told us
         if self.membership.holds(heartbeat.zone) is None:
-            lost = heartbeat.zone in self.view.dark()
+            lost = heartbeat.zone in self.view.unreachable_zones()
             if heartbeat.zone in self.deployment.zones:
                 self._strangers.setdefault(heartbeat.zone, {})[heartbeat.machine] = now
             if lost:
@@ -169,7 +169,7 @@
 
     def _image_of(self, job: str) -> int | None:
         known = self.view.jobs.get(job)
-        return known.need.image if known is not None else None
+        return known.requirements.image if known is not None else None
 
     # Rounds
 
@@ -289,8 +289,8 @@
         changes = partition.terminal_entries(state, self._gather_s())
         if partition.unassigned:
             budget = self._round_budget()
-            owned.placer.scarce = self.replica.store.write_level() < SCARCE_LEVEL
-            placed = owned.placer.run(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
+            owned.placer.writes_scarce = self.replica.store.write_level() < SCARCE_LEVEL
+            placed = owned.placer.run_round(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
             if self.permissions.fresh(now):
                 for attempt in placed.preempt:
                     log.info("preempting %s/%d on %s", *attempt.key, attempt.machine)
@@ -334,7 +334,7 @@
             partition.machines[result.empty].draining = True
         for attempt, target in result.moves:
             log.info("moving %s/%d from %s to %s", *attempt.key, attempt.machine, target)
-            owned.placer.targets[attempt.key] = target, now + MOVE_S
+            owned.placer.move_targets[attempt.key] = target, now + MOVE_S
             partition.request_stop(attempt, self._grace(attempt))
         if result.search is not None and result.search.moves:
             log.info("search of %s: cost %.4f to %.4f", partition.zone, result.search.before, result.search.after)
@@ -378,15 +378,15 @@
         that has to start meanwhile would wait with it (tests/test_bursts.py). Ends of arrays go with their starts;
         clean-up waits until nothing else does, or for `CLEAN_S`, since quotas wait for it.
         """
-        groups = self._by_urgency(owned.partition, changes, extra, owned.placer.pending)
+        groups = self._by_urgency(owned.partition, changes, extra, owned.placer.pending_changes)
         await self._commit_some(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
-        if not owned.placer.pending:
+        if not owned.placer.pending_changes:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
             if self.replica.store.can_write_now(Urgency.ENDS) or now - owned.cleaned_at > CLEAN_S:
                 owned.cleaned_at = now
                 bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
-            owned.placer.pending = {c.where: c.entries or {} for c in bulk if c.where is not None}
-            if owned.placer.pending:
+            owned.placer.pending_changes = {c.where: c.entries or {} for c in bulk if c.where is not None}
+            if owned.placer.pending_changes:
                 await curio.spawn(self._commit_bulk, owned, bulk, daemon=True)
 
     async def _commit_bulk(self, owned: OwnedPartition, bulk: list[_Change]) -> None:
@@ -397,7 +397,7 @@
         except Exception:  # must not end the controller
             log.exception("transactions of partition %s failed", owned.partition.zone)
         finally:
-            owned.placer.pending = {}
+            owned.placer.pending_changes = {}
 
     async def _commit_some(self, owned: OwnedPartition, group: list[_Change], urgency: Urgency) -> None:
         """Makes some of the changes; what is left is planned again, with what came meanwhile in its place."""
--- a/spurarch/coordination/provisioning.py
+++ b/spurarch/coordination/provisioning.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, replace
 from itertools import islice
 
-from spurarch.coordination.admission import Shortage
-from spurarch.coordination.best_fit import EPSILON, Need, Room
+from spurarch.coordination.admission import CapacityShortage
+from spurarch.coordination.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.coordination.view import FleetView
 from spurarch.protocol import wire
 
@@ -36,9 +36,9 @@
     count: int
 
 
-def room_of(view: FleetView, offer: wire.MachineType, kind: Kind) -> Room:
+def room_of(view: FleetView, offer: wire.MachineType, kind: Kind) -> MachineCapacity:
     """An empty machine of a kind, as the decisions see one."""
-    return Room(
+    return MachineCapacity(
         -1,
         view.zones.index(kind.zone),
         view.types.index(kind.type),
@@ -61,25 +61,27 @@
     """
 
     def __init__(self, view: FleetView, share: float) -> None:
-        self._boot = max((offer.boot_s for offer in view.offers.values()), default=0.0)
+        self._boot = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
         self._rate = share * sum(
-            job.assigned * job.need.cpus / max(job.estimate_s, 1.0) for job in view.jobs.values() if not job.service
+            job.assigned * job.requirements.cpus / max(job.estimate_s, 1.0)
+            for job in view.jobs.values()
+            if not job.service
         )
         self._claimed = 0.0
 
-    def absorb(self, shortage: Shortage) -> int:
+    def absorb(self, shortage: CapacityShortage) -> int:
         """How many of these tasks need no machine of their own."""
-        if shortage.service or shortage.need.cpus <= 0:
+        if shortage.service or shortage.requirements.cpus <= 0:
             return 0
         freed = self._rate * self._boot
-        count = min(shortage.count, int(max(0.0, freed - self._claimed) / shortage.need.cpus))
-        self._claimed += count * shortage.need.cpus
+        count = min(shortage.count, int(max(0.0, freed - self._claimed) / shortage.requirements.cpus))
+        self._claimed += count * shortage.requirements.cpus
         return count
 
 
 def plan_rentals(
     view: FleetView,
-    shortages: Iterable[Shortage],
+    shortages: Iterable[CapacityShortage],
     booting: Iterable[Kind],
     closed: set[Kind],
     zones: list[str],
@@ -87,76 +89,84 @@
     now: float,
 ) -> list[Order]:
     """Rents for the tasks that fit neither on what is up nor on what is booting, at the least price per task."""
-    rooms = [room_of(view, view.offers[k.type], k) for k in booting if k.type in view.offers]
+    capacities = [room_of(view, view.machine_types[k.type], k) for k in booting if k.type in view.machine_types]
     owned: dict[Kind, int] = defaultdict(int)
     per_zone: dict[int, int] = defaultdict(int)
-    for zone, there in view.zone_rooms.items():
+    for zone, there in view.capacities_by_zone.items():
         per_zone[zone] += len(there)
-    for room in rooms:
-        per_zone[room.zone] += 1
-    boot_s = max((offer.boot_s for offer in view.offers.values()), default=0.0)
+    for capacity in capacities:
+        per_zone[capacity.zone] += 1
+    boot_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
     for shortage in _alike(_in_waves(shortage, now, boot_s) for shortage in shortages):
         left = shortage.count - turnover.absorb(shortage)
         open_zones = zones
         if shortage.gang and left > 0:
-            by_room = _zones_by_room(view, shortage.need, left, rooms, zones)
-            rentable = (z for z in by_room if _cheapest(view, shortage.need, left, closed, [z], per_zone) is not None)
+            by_room = _zones_by_room(view, shortage.requirements, left, capacities, zones)
+            rentable = (
+                z for z in by_room if _cheapest(view, shortage.requirements, left, closed, [z], per_zone) is not None
+            )
             open_zones = list(islice(rentable, 1))
-        for room in rooms:
+        for capacity in capacities:
             if left <= 0:
                 break
-            if shortage.gang and view.zones.name(room.zone) not in open_zones:
+            if shortage.gang and view.zones.name(capacity.zone) not in open_zones:
                 continue
-            if room.fits(shortage.need):
-                taken = room.slots(shortage.need, left)
-                room.take(shortage.need, taken)
+            if capacity.fits(shortage.requirements):
+                taken = capacity.task_slots(shortage.requirements, left)
+                capacity.book(shortage.requirements, taken)
                 left -= taken
-        rooms = [room for room in rooms if room.free_cpus > EPSILON]
+        capacities = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
         while left > 0:
-            kind = _cheapest(view, shortage.need, left, closed, open_zones, per_zone)
+            kind = _cheapest(view, shortage.requirements, left, closed, open_zones, per_zone)
             if kind is None or sum(owned.values()) >= MOST_PLANNED:
                 break
             owned[kind] += 1
-            room = room_of(view, view.offers[kind.type], kind)
-            per_zone[room.zone] += 1
-            taken = room.slots(shortage.need, left)
-            room.take(shortage.need, taken)
+            capacity = room_of(view, view.machine_types[kind.type], kind)
+            per_zone[capacity.zone] += 1
+            taken = capacity.task_slots(shortage.requirements, left)
+            capacity.book(shortage.requirements, taken)
             left -= taken
-            if room.free_cpus > EPSILON:
-                rooms.append(room)
+            if capacity.free_cpus > EPSILON:
+                capacities.append(capacity)
     return [Order(kind, min(count, MOST_AT_ONCE)) for kind, count in owned.items()]
 
 
-def _zones_by_room(view: FleetView, need: Need, count: int, booting: list[Room], zones: list[str]) -> list[str]:
+def _zones_by_room(
+    view: FleetView, requirements: Requirements, count: int, booting: list[MachineCapacity], zones: list[str]
+) -> list[str]:
     """Zones in the order in which a gang should be given one: where the fewest machines have to be rented for it."""
 
     def room_in(zone: str) -> int:
         index = view.zones.index(zone)
-        up = view.zone_rooms[index].values()
-        coming = (room for room in booting if room.zone == index)
-        return sum(room.slots(need, count) for room in (*up, *coming) if room.fits(need))
+        up = view.capacities_by_zone[index].values()
+        coming = (capacity for capacity in booting if capacity.zone == index)
+        return sum(
+            capacity.task_slots(requirements, count) for capacity in (*up, *coming) if capacity.fits(requirements)
+        )
 
     return sorted(zones, key=lambda zone: (-room_in(zone), zone))
 
 
-def _in_waves(shortage: Shortage, now: float, boot_s: float) -> Shortage:
+def _in_waves(shortage: CapacityShortage, now: float, boot_s: float) -> CapacityShortage:
     """As many tasks as need a machine each: the others can run there after them and still be done in time.
 
     What is late whatever is rented gains nothing by a machine for every task.
     """
-    if shortage.service or shortage.gang or shortage.due is None:
+    if shortage.service or shortage.gang or shortage.deadline is None:
         return shortage
-    left, each = shortage.due - now - boot_s, WAVE_SLACK * max(shortage.estimate_s, 1.0)
+    left, each = shortage.deadline - now - boot_s, WAVE_SLACK * max(shortage.estimate_s, 1.0)
     waves = LATE_WAVES if left < each else min(MOST_WAVES, int(left / each))
     return replace(shortage, count=math.ceil(shortage.count / waves))
 
 
-def _alike(shortages: Iterable[Shortage]) -> list[Shortage]:
+def _alike(shortages: Iterable[CapacityShortage]) -> list[CapacityShortage]:
     """Shortages in order of urgency, those of like tasks as one: there may be hundreds of small jobs."""
-    out: dict[tuple[object, ...], Shortage] = {}
-    for s in sorted(shortages, key=lambda s: (s.need.priority, s.due if s.due is not None else math.inf)):
+    out: dict[tuple[object, ...], CapacityShortage] = {}
+    for s in sorted(
+        shortages, key=lambda s: (s.requirements.priority, s.deadline if s.deadline is not None else math.inf)
+    ):
         # Gangs stay apart from each other: each has to fit into one zone as a whole.
-        key = (*s.need.shape, s.need.priority, s.service, s.job if s.gang else None)
+        key = (*s.requirements.shape, s.requirements.priority, s.service, s.job if s.gang else None)
         if key in out:
             out[key] = replace(out[key], count=out[key].count + s.count)
         else:
@@ -165,23 +175,28 @@
 
 
 def _cheapest(
-    view: FleetView, need: Need, count: int, closed: set[Kind], zones: list[str], per_zone: dict[int, int]
+    view: FleetView,
+    requirements: Requirements,
+    count: int,
+    closed: set[Kind],
+    zones: list[str],
+    per_zone: dict[int, int],
 ) -> Kind | None:
     """The kind with the least price per task, in the zone with the fewest machines."""
     best: tuple[float, int, str] | None = None
     choice: Kind | None = None
-    for offer in view.offers.values():
-        fit = _tasks_per_machine(need, offer)
+    for offer in view.machine_types.values():
+        fit = _tasks_per_machine(requirements, offer)
         type_index = view.types.index(offer.name)
-        if fit == 0 or (need.types is not None and type_index not in need.types):
+        if fit == 0 or (requirements.types is not None and type_index not in requirements.types):
             continue
         for zone in offer.zones:
             zone_index = view.zones.index(zone)
-            if zone not in zones or (need.zones is not None and zone_index not in need.zones):
+            if zone not in zones or (requirements.zones is not None and zone_index not in requirements.zones):
                 continue
             for spot in (True, False):
                 kind = Kind(offer.name, zone, spot)
-                if kind in closed or (spot and not need.spot):
+                if kind in closed or (spot and not requirements.spot):
                     continue
                 price = (offer.spot_price if spot else offer.price) / min(fit, count)
                 order = (price, per_zone[zone_index], zone)
@@ -190,10 +205,14 @@
     return choice
 
 
-def _tasks_per_machine(need: Need, offer: wire.MachineType) -> int:
+def _tasks_per_machine(requirements: Requirements, offer: wire.MachineType) -> int:
     fits = [
         int((have + EPSILON) / take)
-        for take, have in ((need.cpus, offer.cpus), (need.gpus, offer.gpus), (need.memory_gb, offer.memory_gb))
+        for take, have in (
+            (requirements.cpus, offer.cpus),
+            (requirements.gpus, offer.gpus),
+            (requirements.memory_gb, offer.memory_gb),
+        )
         if take > 0
     ]
     return min(fits, default=1)
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/release_candidates.py
@@ -151,16 +151,16 @@
 
 def idle_machines(partition: Partition, view: FleetView, tuning: Tuning, now: float) -> list[Machine]:
     """Machines without a task: emptied ones at once, others after a while and beyond the share of room set aside."""
-    closed = set(map(view.zones.index, view.dark()))
-    rooms = [r for r in view.rooms.values() if r.open and r.zone not in closed]
-    total = sum(r.cpus for r in rooms)
-    free = sum(max(0.0, r.free_cpus) for r in rooms)
+    closed = set(map(view.zones.index, view.unreachable_zones()))
+    capacities = [r for r in view.capacities.values() if r.schedulable and r.zone not in closed]
+    total = sum(r.cpus for r in capacities)
+    free = sum(max(0.0, r.free_cpus) for r in capacities)
     out = []
-    for room in view.zone_rooms[view.zones.index(partition.zone)].values():
-        machine = partition.machines.get(view.machines.name(room.machine))
+    for capacity in view.capacities_by_zone[view.zones.index(partition.zone)].values():
+        machine = partition.machines.get(view.machines.name(capacity.machine))
         if (
             machine is None
-            or room.tasks
+            or capacity.tasks
             or machine.attempts
             or machine.state is not MachineState.ACTIVE
             or machine.releasing
@@ -174,12 +174,12 @@
             partition.unassigned
             or machine.idle_since is None
             or now - machine.idle_since < tuning.idle_return_s
-            or not room.open
+            or not capacity.schedulable
         ):
             continue
-        if free - room.cpus < tuning.headroom * (total - room.cpus):
+        if free - capacity.cpus < tuning.headroom * (total - capacity.cpus):
             continue
-        free -= room.cpus
-        total -= room.cpus
+        free -= capacity.cpus
+        total -= capacity.cpus
         out.append(machine)
     return out
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/renting.py
@@ -7,8 +7,8 @@
 
 import curio
 
-from spurarch.coordination.admission import Shortage
-from spurarch.coordination.best_fit import Room
+from spurarch.coordination.admission import CapacityShortage
+from spurarch.coordination.best_fit import MachineCapacity
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.provisioning import Kind, Order, Turnover, plan_rentals, room_of
 from spurarch.coordination.stall_detector import StallDetector
@@ -51,7 +51,7 @@
     ) -> None:
         self._replica, self._membership, self._view, self._cloud = replica, membership, view, cloud
         self._deployment, self._tuning, self._boot, self._stall_detector = deployment, tuning, boot, stall_detector
-        self.shortages: list[Shortage] = []
+        self.shortages: list[CapacityShortage] = []
         self.booting: dict[str, Booting] = {}
         self._closed: dict[Kind, float] = {}
         self._hires = 0
@@ -66,13 +66,13 @@
         """This process leads no more, or can't be sure."""
         self._term, self._listed = None, False
 
-    def coming(self, now: float) -> list[Room]:
+    def coming(self, now: float) -> list[MachineCapacity]:
         """Room on machines that boot."""
         self._settle_booting()
         return [
-            room_of(self._view, self._view.offers[b.kind.type], b.kind)
+            room_of(self._view, self._view.machine_types[b.kind.type], b.kind)
             for b in self.booting.values()
-            if b.kind.type in self._view.offers and now - b.since < SLOW_BOOT_S
+            if b.kind.type in self._view.machine_types and now - b.since < SLOW_BOOT_S
         ]
 
     def _still(self) -> bool:
@@ -91,8 +91,8 @@
         while True:
             now = time.monotonic()
             try:
-                if now - types_at > TYPES_EVERY_S or not self._view.offers:
-                    self._view.set_offers(await self._cloud.types())
+                if now - types_at > TYPES_EVERY_S or not self._view.machine_types:
+                    self._view.set_machine_types(await self._cloud.types())
                     types_at = now
                     await self._replica.notify()
                 if self._still():
@@ -106,7 +106,7 @@
                 raise
             except Exception:  # a failure here must not end the controller
                 log.exception("cloud round failed")
-            await curio.sleep(self._tuning.rent_pause_s if self._view.offers else 0.3)
+            await curio.sleep(self._tuning.rent_pause_s if self._view.machine_types else 0.3)
 
     def _settle_booting(self) -> None:
         machines = self._replica.state.machines
@@ -124,7 +124,7 @@
         for machine in machines:
             if machine.id in known:
                 continue
-            offer = self._view.offers.get(machine.type)
+            offer = self._view.machine_types.get(machine.type)
             patience = max(NEVER_UP_LEAST_S, NEVER_UP_FACTOR * (offer.boot_s if offer else 60.0))
             if machine.state == wire.FAILED or machine.age_s > patience:
                 useless.append(machine.id)
@@ -144,7 +144,7 @@
         self._settle_booting()
         now = time.monotonic()
         self._closed = {kind: until for kind, until in self._closed.items() if until > now}
-        dark = self._view.dark()
+        dark = self._view.unreachable_zones()
         orders = plan_rentals(
             self._view,
             self.shortages,
--- a/spurarch/coordination/tabu.py
+++ b/spurarch/coordination/tabu.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from spurarch.coordination.best_fit import Need, Room
+from spurarch.coordination.best_fit import MachineCapacity, Requirements
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +30,7 @@
     """A task of the part; one that is not movable only counts as load."""
 
     task: int
-    need: Need
+    requirements: Requirements
     at: int  # index into the rooms
     home: int
     movable: bool
@@ -63,9 +63,11 @@
     and leaves the averages as they are. Only a move that empties its source asks for the whole sum.
     """
 
-    def __init__(self, rooms: list[Room], tasks: list[Replica], emptying: frozenset[int], weights: Weights) -> None:
-        self.rooms, self.tasks, self.weights = rooms, tasks, weights
-        self._held = [0] * len(rooms)
+    def __init__(
+        self, capacities: list[MachineCapacity], tasks: list[Replica], emptying: frozenset[int], weights: Weights
+    ) -> None:
+        self.capacities, self.tasks, self.weights = capacities, tasks, weights
+        self._held = [0] * len(capacities)
         for task in tasks:
             self._held[task.at] += 1
         self._emptying = emptying
@@ -82,7 +84,7 @@
         if not counted:
             return 0.0
         for booked in BOOKED:
-            values = [booked(self.rooms[i]) for i in counted]
+            values = [booked(self.capacities[i]) for i in counted]
             mean = sum(values) / len(values)
             if mean > 0:
                 total += sum(abs(v - mean) for v in values) / mean
@@ -94,7 +96,7 @@
         return self.weights.imbalance * self.imbalance() + self.weights.move * changed_keys
 
     def _means(self, counted: list[int]) -> list[float]:
-        return [sum(booked(self.rooms[i]) for i in counted) / len(counted) for booked in BOOKED]
+        return [sum(booked(self.capacities[i]) for i in counted) / len(counted) for booked in BOOKED]
 
     def _cost_after(self, task: Replica, target: int, now: float, means: list[float], counted: int) -> float:
         """The cost if a task moved, from the cost as it is."""
@@ -104,17 +106,19 @@
             cost = self.cost()
             self._shift(task, source)
             return cost
-        need, change = task.need, 0.0
-        for booked, mean, amount in zip(BOOKED, means, (need.cpus, need.gpus, need.memory_gb), strict=True):
+        requirements, change = task.requirements, 0.0
+        for booked, mean, amount in zip(
+            BOOKED, means, (requirements.cpus, requirements.gpus, requirements.memory_gb), strict=True
+        ):
             if mean > 0 and amount > 0:
-                out, into = booked(self.rooms[source]) - mean, booked(self.rooms[target]) - mean
+                out, into = booked(self.capacities[source]) - mean, booked(self.capacities[target]) - mean
                 change += (abs(out - amount) - abs(out) + abs(into + amount) - abs(into)) / mean
         moved = (target != task.home) - (source != task.home)
         return now + self.weights.imbalance * change / (counted * 3) + self.weights.move * moved / len(self.tasks)
 
     def _shift(self, task: Replica, target: int) -> None:
-        self.rooms[task.at].give(task.need)
-        self.rooms[target].take(task.need)
+        self.capacities[task.at].unbook(task.requirements)
+        self.capacities[target].book(task.requirements)
         self._held[task.at] -= 1
         self._held[target] += 1
         self._moved += (target != task.home) - (task.at != task.home)
@@ -124,7 +128,7 @@
         self,
         random: Random,
         iterations: int,
-        patience: int,
+        stall_limit: int,
         tenure: int,
         most_moves: int,
         margin: float,
@@ -135,7 +139,7 @@
         best_at = [t.at for t in self.tasks]
         tabu: dict[tuple[int, int], int] = {}
         since_best = step = 0
-        while step < iterations and since_best < patience and not out_of_time():
+        while step < iterations and since_best < stall_limit and not out_of_time():
             choice = self._best_step(random, tabu, step, best, most_moves, out_of_time)
             if choice is None:
                 break
@@ -173,8 +177,12 @@
             if self._moved >= most_moves and task.at == task.home:
                 continue
             for target in counted:
-                room = self.rooms[target]
-                if target == task.at or not room.fits(task.need) or task.need.image not in room.images:
+                capacity = self.capacities[target]
+                if (
+                    target == task.at
+                    or not capacity.fits(task.requirements)
+                    or task.requirements.image not in capacity.images
+                ):
                     continue
                 cost = self._cost_after(task, target, now, means, len(counted))
                 if tabu.get((task.task, target), -1) >= step and cost >= best - 1e-9:
@@ -184,16 +192,16 @@
         return chosen
 
 
-def _cpus(room: Room) -> float:
-    return room.cpus - room.free_cpus
+def _cpus(capacity: MachineCapacity) -> float:
+    return capacity.cpus - capacity.free_cpus
 
 
-def _gpus(room: Room) -> float:
-    return room.gpus - room.free_gpus
+def _gpus(capacity: MachineCapacity) -> float:
+    return capacity.gpus - capacity.free_gpus
 
 
-def _memory(room: Room) -> float:
-    return room.memory_gb - room.free_memory_gb
+def _memory(capacity: MachineCapacity) -> float:
+    return capacity.memory_gb - capacity.free_memory_gb
 
 
 BOOKED = (_cpus, _gpus, _memory)
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/users.py
@@ -129,7 +129,7 @@
         if team is None:
             return error(422, "crew: unknown team")
         count = 1 if spec.kind == wire.BATCH else spec.tasks
-        if 0 < team.cpus_max < spec.cpus * count - 1e-6 or 0 < team.gpus_max < spec.gpus * count - 1e-6:
+        if 0 < team.quota_cpus < spec.cpus * count - 1e-6 or 0 < team.quota_gpus < spec.gpus * count - 1e-6:
             return error(422, "the job needs more than its team's limit")
         if spec.kind == wire.GANG and spec.spread and spec.tasks > 1:
             return error(422, "spread: the tasks of a gang are in one zone")
@@ -137,9 +137,9 @@
             return error(422, "district: unknown zone")
         if len(wire.encode(JobRecord(spec, time.time(), True, time.time()))) > self._record_bytes:
             return error(422, "the job's description is larger than a record may be")
-        if not self.view.offers:
+        if not self.view.machine_types:
             return error(503, "machine types are not known yet")
-        for offer in self.view.offers.values():
+        for offer in self.view.machine_types.values():
             if spec.types is not None and offer.name not in spec.types:
                 continue
             if spec.zone is not None and spec.zone not in offer.zones:
--- a/spurarch/coordination/violations.py
+++ b/spurarch/coordination/violations.py
@@ -9,16 +9,16 @@
 LOGGED_MOST = 200  # lines; a fault that repeats must not fill the log
 
 
-class Violations:
+class InvariantViolations:
     """Violated invariants of this process."""
 
     def __init__(self) -> None:
-        self.texts: list[str] = []
+        self.messages: list[str] = []
         self.count = 0
 
-    def note(self, text: str) -> None:
+    def record(self, text: str) -> None:
         """Notes one."""
         self.count += 1
         if self.count <= LOGGED_MOST:
-            self.texts.append(text)
+            self.messages.append(text)
             log.error("violated: %s (%d since the start)", text, self.count)
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -24,10 +24,10 @@
     """What a team is guaranteed and what it may use at most; 0 means none."""
 
     name: str
-    cpus: NotNegative = field(name="cpus", default=0.0)
-    cpus_max: NotNegative = field(name="cpus_max", default=0.0)
-    gpus: NotNegative = field(name="gpus", default=0.0)
-    gpus_max: NotNegative = field(name="gpus_max", default=0.0)
+    guaranteed_cpus: NotNegative = field(name="cpus", default=0.0)
+    quota_cpus: NotNegative = field(name="cpus_max", default=0.0)
+    guaranteed_gpus: NotNegative = field(name="gpus", default=0.0)
+    quota_gpus: NotNegative = field(name="gpus_max", default=0.0)
 
 
 class Objective(Struct):
@@ -184,7 +184,7 @@
     moves_per_round: Annotated[int, Meta(ge=0, le=100)] = 3
     tabu_tenure: Annotated[int, Meta(ge=1, le=1000)] = 7
     tabu_iterations: Annotated[int, Meta(ge=1, le=10000)] = 60
-    tabu_patience: Annotated[int, Meta(ge=1, le=10000)] = field(name="tabu-patience", default=12)
+    tabu_stall_limit: Annotated[int, Meta(ge=1, le=10000)] = field(name="tabu-patience", default=12)
     consolidation_cap: Share = 0.7
     service_minimum: Share = 0.5
     budget_ms: Positive = 25.0
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -11,16 +11,16 @@
 from spurarch.cli import main
 from spurarch.coordination.machine import AttemptPhase
 from spurarch.coordination.partition import Partition
-from spurarch.coordination.team_ledger import TeamLedger
+from spurarch.coordination.team_ledger import QuotaLedger
 
 
 def leave_limit_out() -> None:
     """Admits whatever is asked for."""
 
-    def tasks_allowed(_ledger: TeamLedger, _team: int, _each: Any, most: int, _beside: Any = None) -> int:
+    def tasks_allowed(_ledger: QuotaLedger, _team: int, _each: Any, most: int, _beside: Any = None) -> int:
         return most
 
-    TeamLedger.tasks_allowed = tasks_allowed  # type: ignore[assignment, method-assign]
+    QuotaLedger.tasks_allowed = tasks_allowed  # type: ignore[assignment, method-assign]
 
 
 def drop_charge_early() -> None:
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -78,7 +78,7 @@
         self.world = World(
             self.clock, self.wire, self.limits["report_s"], self.limits["lease_s"], self.limits["cancel_s"]
         )
-        self.world.limits = {t.name: t.cpus_max for t in self.teams}
+        self.world.limits = {t.name: t.quota_cpus for t in self.teams}
         self.cloud = FakeCloud(self.world, self.zones, self.nodes, 5.0)
         self.cloud.kinds = {k.name: k for k in kinds}
         self.machines = machines
@@ -428,7 +428,7 @@
     def _check(self) -> None:
         self.problems += self.world.rules.broken + self.store.faults
         for controller in self.started:
-            self.problems += controller.view.ledger.violations.texts
+            self.problems += controller.view.ledger.violations.messages
         for words in self.scenario.expects:
             text = " ".join(words)
             if not self._holds(words):
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -9,9 +9,9 @@
 import curio
 import msgspec
 
-from spurarch.coordination.admission import Grant
+from spurarch.coordination.admission import AdmissionGrant
 from spurarch.coordination.admission_writer import AdmissionWriter
-from spurarch.coordination.job_ends import JobEnds
+from spurarch.coordination.job_ends import JobFinalizer
 from spurarch.coordination.leader import Leader
 from spurarch.coordination.team_ledger import Charge
 from spurarch.coordination.view import FleetView
@@ -29,10 +29,10 @@
 SOURCE = AllocationKey("a", "job-1", 0)
 
 
-def ends_of(fleet: Fleet) -> JobEnds:
+def ends_of(fleet: Fleet) -> JobFinalizer:
     """What decides which jobs are over, without a state service."""
     replica: Any = SimpleNamespace(state=fleet.state, store=SimpleNamespace(reserved_guards=0))
-    return JobEnds(replica, fleet.view, LIMITS)
+    return JobFinalizer(replica, fleet.view, LIMITS)
 
 
 def writer_of(fleet: Fleet, replica: Any = None, most_changes: int = 24, term: int | None = 0) -> AdmissionWriter:
@@ -70,15 +70,15 @@
 def limited_fleet(limit: float, *jobs: tuple[str, int]) -> Fleet:
     """Jobs of one team with a limit."""
     fleet = Fleet(0)
-    fleet.view = FleetView(fleet.state, [Team("t", cpus_max=limit)])
+    fleet.view = FleetView(fleet.state, [Team("t", quota_cpus=limit)])
     for job_id, tasks in jobs:
         fleet.put(f"{records.JOB}{job_id}", JobRecord(submission(job_id, tasks), 0.0))
     fleet.view.update()
     return fleet
 
 
-def grant_of(fleet: Fleet, job_id: str, tasks: int) -> Grant:
-    return Grant(job_id, fleet.view.zones.index("a"), [TaskEntry(n) for n in range(tasks)])
+def grant_of(fleet: Fleet, job_id: str, tasks: int) -> AdmissionGrant:
+    return AdmissionGrant(job_id, fleet.view.zones.index("a"), [TaskEntry(n) for n in range(tasks)])
 
 
 def test_a_later_batch_of_a_plan_finds_its_team_full() -> None:
@@ -128,7 +128,7 @@
     assert fleet.view.ledger.recorded(0) == Charge.of(2.0, 0.0)
     replica: Any = SlowReplica(fleet, lambda _: None)
     writer = writer_of(fleet, replica)
-    grant = Grant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
+    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
     assert writer._job_admission("job-1", [grant]).tasks == 1
     curio.run(writer.admit, [grant], {"job-1": writer.as_planned("job-1")}, Urgency.STARTS)
     assert len(replica.committed) == 1
@@ -155,7 +155,7 @@
     fleet.put(str(SOURCE), AllocationRecord([*returned, TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1)]))
     fleet.view.update()
     writer = writer_of(fleet)
-    grant = Grant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
+    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
     planned = writer.as_planned("job-1")
     assert writer._stands("job-1", [grant], planned)
     for write in writer._job_admission("job-1", [grant]).writes:
@@ -175,12 +175,12 @@
     finals = []
     for last in (TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1), TaskEntry(2, records.FREE, 1)):
         fleet.put(str(SOURCE), AllocationRecord([ended, free, last]))
-        finals.append(ends.final("job-1"))
+        finals.append(ends.final_record("job-1"))
     assert finals == [None, FinalRecord(wire.DONE, 3)]
     job.spec.kind = wire.BATCH
     fleet.put(f"{records.JOB}job-2", JobRecord(submission("job-2", 2), 0.0))
     fleet.put(str(AllocationKey("a", "job-2", 0)), AllocationRecord([ended, free]))
-    assert ends.final("job-2") is None
+    assert ends.final_record("job-2") is None
 
 
 def test_a_controller_that_does_not_lead_gathers_no_news() -> None:
@@ -193,11 +193,11 @@
     deployment = Deployment(["a"], [], Workers(1.0, 10.0, 30.0), LIMITS, CloudLimits(1.0, 1.0))
     nothing: Any = None
     leader = Leader(replica, membership, fleet.view, nothing, nothing, deployment, Tuning(), "boot", nothing)
-    assert leader._ends._changed_keys
+    assert leader._finalizer._changed_keys
 
     async def play() -> None:
         await leader._wakeup.set()  # as the controller's beat does
         await curio.ignore_after(2.0, leader.run)
 
     Clock().run(play)
-    assert not leader._ends._changed_keys
+    assert not leader._finalizer._changed_keys
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -4,8 +4,8 @@
 
 import curio
 
-from spurarch.coordination.admission import Admission
-from spurarch.coordination.placing import Placer
+from spurarch.coordination.admission import AdmissionPlanner
+from spurarch.coordination.placing import TaskPlacer
 from spurarch.coordination.view import FleetView
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
@@ -31,10 +31,10 @@
     if queue_of_b:
         waiting_in(fleet, "b", "job-2", queue_of_b)
     fleet.news(list(fleet.state.entries))
-    placer = Placer()
-    placer.scarce, fleet.partition.capacity_added_at = scarce, grew_at
+    placer = TaskPlacer()
+    placer.writes_scarce, fleet.partition.capacity_added_at = scarce, grew_at
     for now in (1.0, 3.0 if not scarce else 7.0):
-        turn = placer.run(fleet.partition, fleet.view, now, lambda: False, 100)
+        turn = placer.run_round(fleet.partition, fleet.view, now, lambda: False, 100)
     return sum(e.state == records.RETURNED for entries in turn.entries.values() for e in entries.values())
 
 
@@ -94,7 +94,7 @@
         fleet.put(str(AllocationKey(zone, f"job-{zone}", 0)), AllocationRecord(entries))
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", tasks), 1.0))
     fleet.view.update()
-    plan = Admission(fleet.view, 2.0, piece=piece).run(None, lambda: False, 24)
+    plan = AdmissionPlanner(fleet.view, 2.0, piece=piece).run(None, lambda: False, 24)
     return sorted(len(grant.entries) for grant in plan.grants)
 
 
@@ -107,7 +107,7 @@
 def warm_fleet() -> Fleet:
     """Two machines with room for one task each; the first has the image of job-2."""
     fleet = Fleet(0)
-    fleet.view.set_offers([wire.MachineType("small", 1.0, 0.0, 4.0, 1.0, 0.5, 30.0, ["a"], 40.0, 0.1)])
+    fleet.view.set_machine_types([wire.MachineType("small", 1.0, 0.0, 4.0, 1.0, 0.5, 30.0, ["a"], 40.0, 0.1)])
     fleet.put(records.machine_key("a", "vm-1"), MachineRecord("small", False, "10.1.0.1:9000"))
     fleet.news(list(fleet.state.entries))
     fleet.report(1, 1, 0)
@@ -118,7 +118,7 @@
         fleet.put(f"{records.JOB}{job_id}", JobRecord(spec, at))
         fleet.put(str(AllocationKey("a", job_id, 0)), AllocationRecord([TaskEntry(0)]))
     fleet.news(list(fleet.state.entries))
-    fleet.view.rooms[fleet.view.machines.index("vm-1")].images.add(fleet.view.images.index("common"))
+    fleet.view.capacities[fleet.view.machines.index("vm-1")].images.add(fleet.view.images.index("common"))
     return fleet
 
 
@@ -127,10 +127,10 @@
 
     The first in line took whatever machine became free.
     """
-    fleet, placer = warm_fleet(), Placer()
-    first = placer.run(fleet.partition, fleet.view, 2.0, lambda: False, 100)
+    fleet, placer = warm_fleet(), TaskPlacer()
+    first = placer.run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
     assert [allocation.job for allocation in first.entries] == ["job-2"]
-    late = placer.run(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100)  # a fetch takes 10 s
+    late = placer.run_round(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100)  # a fetch takes 10 s
     assert [allocation.job for allocation in late.entries] == ["job-1"]
 
 
@@ -139,18 +139,18 @@
 
     A round that comes meanwhile must not give their room to a replica.
     """
-    fleet, placer = warm_fleet(), Placer()
-    first = placer.run(fleet.partition, fleet.view, 2.0, lambda: False, 100)
+    fleet, placer = warm_fleet(), TaskPlacer()
+    first = placer.run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
     assert [allocation.job for allocation in first.entries] == ["job-2"]
     spec = submission("job-3", 1)
     spec.kind = wire.SERVICE
     fleet.put(f"{records.JOB}job-3", JobRecord(spec, 2.0))
     fleet.put(str(AllocationKey("a", "job-3", 0)), AllocationRecord([TaskEntry(0)]))
     fleet.news([f"{records.JOB}job-3", str(AllocationKey("a", "job-3", 0))])
-    placer.pending = first.entries
-    assert not placer.run(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100).entries
-    placer.pending = {}
-    assert placer.run(fleet.partition, fleet.view, 2.0 + 11.5, lambda: False, 100).entries
+    placer.pending_changes = first.entries
+    assert not placer.run_round(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100).entries
+    placer.pending_changes = {}
+    assert placer.run_round(fleet.partition, fleet.view, 2.0 + 11.5, lambda: False, 100).entries
 
 
 def test_when_all_can_not_be_done_a_few_large_jobs_are_late_and_not_many_small_ones() -> None:
@@ -167,7 +167,7 @@
         now, count = 0.0, 0
         for job in sorted(fleet.view.jobs.values(), key=lambda job: fleet.view.rank(job, False)):
             now += job.tasks * 4.0
-            count += job.due is not None and now > job.due
+            count += job.deadline is not None and now > job.deadline
         return count
 
     assert late(0.0) == 11
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spurarch.coordination.best_fit import Need, Room, best_fit
+from spurarch.coordination.best_fit import MachineCapacity, Requirements, best_fit
 from spurarch.coordination.membership import assign_partitions
 from spurarch.coordination.store_reachability import StoreReachability
 from spurarch.coordination.tabu import Replica, Search, Weights
@@ -19,19 +19,21 @@
 WEIGHTS = Weights(0.234, 0.512, 0.254)
 
 
-def room(index: int, cpus: float, free: float, spot: bool = False, images: frozenset[int] = frozenset()) -> Room:
-    return Room(index, 0, 0, spot, cpus, 0.0, cpus * 4, free, 0.0, cpus * 4, set(images))
+def room(
+    index: int, cpus: float, free: float, spot: bool = False, images: frozenset[int] = frozenset()
+) -> MachineCapacity:
+    return MachineCapacity(index, 0, 0, spot, cpus, 0.0, cpus * 4, free, 0.0, cpus * 4, set(images))
 
 
-def need(cpus: float, spot: bool = True, image: int = 0) -> Need:
-    return Need(cpus, 0.0, 0.1, None, spot, image)
+def need(cpus: float, spot: bool = True, image: int = 0) -> Requirements:
+    return Requirements(cpus, 0.0, 0.1, None, spot, image)
 
 
 @given(st.lists(st.tuples(st.integers(1, 32), st.integers(0, 32), st.booleans()), max_size=12), st.integers(1, 32))
 def test_best_fit_takes_the_fullest_that_fits(machines: list[tuple[int, int, bool]], cpus: int) -> None:
-    rooms = [room(i, max(c, f), min(c, f), s) for i, (c, f, s) in enumerate(machines)]
-    chosen = best_fit(need(cpus, spot=False), rooms)
-    fitting = [r for r in rooms if r.free_cpus >= cpus and not r.spot]
+    capacities = [room(i, max(c, f), min(c, f), s) for i, (c, f, s) in enumerate(machines)]
+    chosen = best_fit(need(cpus, spot=False), capacities)
+    fitting = [r for r in capacities if r.free_cpus >= cpus and not r.spot]
     if chosen is None:
         assert not fitting
     else:
@@ -41,21 +43,21 @@
 
 
 def test_best_fit_prefers_a_cached_image_over_fullness() -> None:
-    rooms = [room(0, 8, 2), room(1, 8, 8, images=frozenset([7]))]
-    found = best_fit(need(1, image=7), rooms)
-    assert found is rooms[1]
+    capacities = [room(0, 8, 2), room(1, 8, 8, images=frozenset([7]))]
+    found = best_fit(need(1, image=7), capacities)
+    assert found is capacities[1]
 
 
 def search_of(data: list[tuple[int, int]], machines: int) -> Search:
-    rooms = [room(i, 16, 16, images=frozenset([0])) for i in range(machines)]
+    capacities = [room(i, 16, 16, images=frozenset([0])) for i in range(machines)]
     tasks = []
     for task, (cpus, at) in enumerate(data):
         wanted = need(cpus)
-        spot = rooms[at % machines]
+        spot = capacities[at % machines]
         if spot.fits(wanted):
-            spot.take(wanted)
+            spot.book(wanted)
             tasks.append(Replica(task, wanted, at % machines, at % machines, True))
-    return Search(rooms, tasks, frozenset(), WEIGHTS)
+    return Search(capacities, tasks, frozenset(), WEIGHTS)
 
 
 @settings(max_examples=60, deadline=None)
@@ -74,19 +76,19 @@
     booked = [0.0] * machines
     moved = {m.task: m.target for m in result.moves}
     for task in search.tasks:
-        booked[moved.get(task.task, task.home)] += task.need.cpus
+        booked[moved.get(task.task, task.home)] += task.requirements.cpus
     assert all(b <= 16 for b in booked)
 
 
 def test_cost_is_the_papers() -> None:
     """Two machines with 3 and 1 CPUs booked: gaps of 1 around a mean of 2, in CPU and (here) memory alike."""
-    rooms = [room(0, 16, 16, images=frozenset([0])), room(1, 16, 16, images=frozenset([0]))]
+    capacities = [room(0, 16, 16, images=frozenset([0])), room(1, 16, 16, images=frozenset([0]))]
     tasks = []
     for task, (cpus, at) in enumerate([(2, 0), (1, 0), (1, 1)]):
-        wanted = Need(cpus, 0.0, cpus, None, True, 0)
-        rooms[at].take(wanted)
+        wanted = Requirements(cpus, 0.0, cpus, None, True, 0)
+        capacities[at].book(wanted)
         tasks.append(Replica(task, wanted, at, at, True))
-    search = Search(rooms, tasks, frozenset(), WEIGHTS)
+    search = Search(capacities, tasks, frozenset(), WEIGHTS)
     assert abs(search.imbalance() - (0.5 + 0.5 + 0.5 + 0.5) / (2 * 3)) < 1e-9
     result = search.run(Random(1), 20, 5, 3, 3, 0.0, lambda: False)
     assert [(m.task, m.source, m.target) for m in result.moves] == [(1, 0, 1)]
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from spurarch.coordination.allocation_changes import merge_changes
-from spurarch.coordination.best_fit import Need, Room, gathering_rooms
+from spurarch.coordination.best_fit import MachineCapacity, Requirements, machines_to_reserve
 from spurarch.coordination.gang import GangAttempt, Gangs, GangState
 from spurarch.coordination.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.membership import assign_partitions, gangs_supported
@@ -234,11 +234,11 @@
 
 
 def test_room_for_a_gang_gathers_where_work_ends() -> None:
-    need = Need(2.0, 0.0, 1.0, None, False, 0, priority=2)
-    service = Need(4.0, 0.0, 1.0, None, False, 0, priority=0)
-    array = Need(4.0, 0.0, 1.0, None, False, 0, priority=1)
-    rooms = [Room(i, 0, 0, False, 4.0, 0.0, 16.0, 4.0, 0.0, 16.0) for i in range(3)]
-    rooms[0].take(service)
-    rooms[1].take(array)
-    assert [room.machine for room in gathering_rooms(need, rooms, 4)] == [2, 1]
-    assert gathering_rooms(need, rooms, 5) == []
+    requirements = Requirements(2.0, 0.0, 1.0, None, False, 0, priority=2)
+    service = Requirements(4.0, 0.0, 1.0, None, False, 0, priority=0)
+    array = Requirements(4.0, 0.0, 1.0, None, False, 0, priority=1)
+    capacities = [MachineCapacity(i, 0, 0, False, 4.0, 0.0, 16.0, 4.0, 0.0, 16.0) for i in range(3)]
+    capacities[0].book(service)
+    capacities[1].book(array)
+    assert [capacity.machine for capacity in machines_to_reserve(requirements, capacities, 4)] == [2, 1]
+    assert machines_to_reserve(requirements, capacities, 5) == []
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from spurarch.coordination.admission import Admission
+from spurarch.coordination.admission import AdmissionPlanner
 from spurarch.coordination.local_search import refine
 from spurarch.coordination.partition import RELEASED_MACHINES_KEPT
-from spurarch.coordination.placing import Placer
+from spurarch.coordination.placing import TaskPlacer
 from spurarch.protocol import peer_messages
 from spurarch.settings import Tuning
 from spurarch.storage import records
@@ -31,9 +31,9 @@
     fleet.put(str(AllocationKey("a", "job-9001", 0)), AllocationRecord([TaskEntry(n) for n in range(100)]))
     fleet.put(f"{records.JOB}job-9002", JobRecord(submission("job-9002", 100), 1.0))
     fleet.news([str(AllocationKey("a", "job-9001", 0))])
-    placed = Placer().run(fleet.partition, fleet.view, 2.0, lambda: False, 200)
+    placed = TaskPlacer().run_round(fleet.partition, fleet.view, 2.0, lambda: False, 200)
     assert sum(map(len, placed.entries.values())) == 100
-    plan = Admission(fleet.view, 2.0).run(None, lambda: False, 24)
+    plan = AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24)
     assert sum(len(grant.entries) for grant in plan.grants if grant.job == "job-9002") == 100
     refine(fleet.partition, fleet.view, Tuning(), 2.0, Random(1), lambda: False)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from spurarch.coordination import best_fit as best_fit_module
-from spurarch.coordination.admission import Admission
+from spurarch.coordination.admission import AdmissionPlanner
 from spurarch.coordination.allocation_changes import merge_changes
-from spurarch.coordination.best_fit import Draft, Need, Room, best_fit, fill, fitting
+from spurarch.coordination.best_fit import MachineCapacity, Requirements, TentativeBookings, best_fit, fill, fitting
 from spurarch.coordination.machine import AttemptPhase, Machine
 from spurarch.coordination.membership import rate_shares
 from spurarch.coordination.partition import Partition
-from spurarch.coordination.placing import Placer
+from spurarch.coordination.placing import TaskPlacer
 from spurarch.coordination.tabu import Replica, Search, Weights
 from spurarch.coordination.view import FleetView
 from spurarch.protocol import wire
@@ -79,7 +79,7 @@
     def __init__(self, machines: int) -> None:
         self.state = ClusterState()
         self.view = FleetView(self.state, [Team("t")])
-        self.view.set_offers([wire.MachineType("big", 32.0, 0.0, 128.0, 1.0, 0.5, 30.0, ["a"])])
+        self.view.set_machine_types([wire.MachineType("big", 32.0, 0.0, 128.0, 1.0, 0.5, 30.0, ["a"])])
         self.partition = Partition("a", 1, 10.0, 0.0, lambda job: 0)
         for i in range(machines):
             self.put(records.machine_key("a", f"vm-{i}"), MachineRecord("big", False, "10.1.0.1:9000"))
@@ -137,21 +137,21 @@
     """The second of twenty waiting jobs of like tasks learns from the first that no machine has room."""
     looks, costs = [0], []
 
-    def counted(need: Need, rooms: Iterable[Room]) -> list[Room]:
-        rooms = list(rooms)
-        looks[-1] += len(rooms)
-        return fitting(need, rooms)
+    def counted(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> list[MachineCapacity]:
+        capacities = list(capacities)
+        looks[-1] += len(capacities)
+        return fitting(requirements, capacities)
 
     monkeypatch.setattr(best_fit_module, "fitting", counted)
     for jobs in (1, 20):
         fleet = Fleet(300)
-        for room in fleet.view.rooms.values():
-            room.free_cpus = 0.5
+        for capacity in fleet.view.capacities.values():
+            capacity.free_cpus = 0.5
         for i in range(jobs):
             fleet.put(f"{records.JOB}job-{1000 + i}", JobRecord(submission(f"job-{1000 + i}", 100), 1.0))
         fleet.view.update()
         looks.append(0)
-        costs.append(calls(lambda v=fleet.view: Admission(v, 2.0).run(None, lambda: False, 24)))  # type: ignore[misc]
+        costs.append(calls(lambda v=fleet.view: AdmissionPlanner(v, 2.0).run(None, lambda: False, 24)))  # type: ignore[misc]
     assert (costs[1] - costs[0]) / 19 < 300
     assert 0 < looks[2] == looks[1]  # no further look at any machine
 
@@ -159,19 +159,19 @@
 def test_like_replicas_without_room_ask_once_whom_to_stop(monkeypatch: pytest.MonkeyPatch) -> None:
     """While a large fleet came up, each waiting replica asked every machine in each round."""
     looks = 0
-    fits = Room.fits_by_preemption
+    fits = MachineCapacity.fits_by_preemption
 
-    def counted(room: Room, need: Need) -> bool:
+    def counted(capacity: MachineCapacity, requirements: Requirements) -> bool:
         nonlocal looks
         looks += 1
-        return fits(room, need)
+        return fits(capacity, requirements)
 
-    monkeypatch.setattr(Room, "fits_by_preemption", counted)
+    monkeypatch.setattr(MachineCapacity, "fits_by_preemption", counted)
     seen = []
     for services in (1, 20):
         fleet = Fleet(50)
-        for room in fleet.view.rooms.values():
-            room.free_cpus = -1000.0  # lower work runs, and to stop it would not be enough
+        for capacity in fleet.view.capacities.values():
+            capacity.free_cpus = -1000.0  # lower work runs, and to stop it would not be enough
         for i in range(services):
             job = JobRecord(submission(f"job-9{i}", 5), 1.0)
             job.spec.kind, job.spec.priority = wire.SERVICE, "production"
@@ -180,7 +180,7 @@
             fleet.put(key, AllocationRecord([TaskEntry(n) for n in range(5)]))
             fleet.news([key])
         looks = 0
-        Placer().run(fleet.partition, fleet.view, 2.0, lambda: False, 100)
+        TaskPlacer().run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
         seen.append(looks)
     assert seen[0] == seen[1] == 50
 
@@ -248,8 +248,8 @@
     assert fleet.partition.scheduling_triggers == before + 2
 
 
-def room(index: int, cpus: float, free: float, images: frozenset[int]) -> Room:
-    return Room(index, 0, 0, False, cpus, 0.0, 256.0, free, 0.0, 256.0, set(images))
+def room(index: int, cpus: float, free: float, images: frozenset[int]) -> MachineCapacity:
+    return MachineCapacity(index, 0, 0, False, cpus, 0.0, 256.0, free, 0.0, 256.0, set(images))
 
 
 ROOMS = st.lists(st.tuples(st.sampled_from([4, 8, 32]), st.integers(0, 32), st.booleans()), max_size=10)
@@ -265,12 +265,12 @@
     kinds: list[tuple[int, int, bool, int, int]], wish: tuple[frozenset[int] | None, frozenset[int] | None, bool]
 ) -> None:
     types, zones, spot = wish
-    need = Need(4.0, 0.0, 4.0, types, spot, 0, 1, zones)
-    rooms = [
-        Room(index, zone, kind, lent, 8.0, 0.0, 8.0, float(cpus), 0.0, float(memory))
+    requirements = Requirements(4.0, 0.0, 4.0, types, spot, 0, 1, zones)
+    capacities = [
+        MachineCapacity(index, zone, kind, lent, 8.0, 0.0, 8.0, float(cpus), 0.0, float(memory))
         for index, (zone, kind, lent, cpus, memory) in enumerate(kinds)
     ]
-    assert fitting(need, rooms) == [room for room in rooms if room.fits(need)]
+    assert fitting(requirements, capacities) == [capacity for capacity in capacities if capacity.fits(requirements)]
 
 
 def test_a_waiting_task_of_a_large_array_costs_little() -> None:
@@ -278,15 +278,15 @@
     costs = []
     for tasks in (100, 1100):
         fleet = Fleet(20)
-        for room in fleet.view.rooms.values():
-            room.free_cpus = 0.5
+        for capacity in fleet.view.capacities.values():
+            capacity.free_cpus = 0.5
         fleet.put(f"{records.JOB}job-99", JobRecord(submission("job-99", tasks), 1.0))
         key = str(AllocationKey("a", "job-99", 0))
         fleet.put(key, AllocationRecord([TaskEntry(index) for index in range(tasks)]))
         fleet.news([key])
-        placer = Placer()
-        placer.run(fleet.partition, fleet.view, 1.0, lambda: False, 200)
-        costs.append(calls(lambda f=fleet, p=placer: p.run(f.partition, f.view, 9.0, lambda: False, 200)))  # type: ignore[misc]
+        placer = TaskPlacer()
+        placer.run_round(fleet.partition, fleet.view, 1.0, lambda: False, 200)
+        costs.append(calls(lambda f=fleet, p=placer: p.run_round(f.partition, f.view, 9.0, lambda: False, 200)))  # type: ignore[misc]
     assert (costs[1] - costs[0]) / 1000 <= 6
 
 
@@ -294,22 +294,22 @@
 def test_a_group_goes_where_best_fit_would_put_one_after_another(
     machines: list[tuple[int, int, bool]], cpus: int, count: int
 ) -> None:
-    def rooms() -> list[Room]:
+    def rooms() -> list[MachineCapacity]:
         return [room(i, c, min(c, f), frozenset([1] if cached else [])) for i, (c, f, cached) in enumerate(machines)]
 
-    need = Need(float(cpus), 0.0, 0.1, None, False, 1)
-    one_by_one, together, draft = rooms(), rooms(), Draft()
+    requirements = Requirements(float(cpus), 0.0, 0.1, None, False, 1)
+    one_by_one, together, bookings = rooms(), rooms(), TentativeBookings()
     for _ in range(count):
-        found = best_fit(need, one_by_one)
+        found = best_fit(requirements, one_by_one)
         if found is None:
             break
-        found.take(need)
-    placed = sum(number for _, number in fill(need, together, count, draft))
+        found.book(requirements)
+    placed = sum(number for _, number in fill(requirements, together, count, bookings))
     assert placed == sum(r.tasks for r in one_by_one)
     assert sorted((r.tasks, r.cpus, len(r.images)) for r in together) == sorted(
         (r.tasks, r.cpus, len(r.images)) for r in one_by_one
     )
-    draft.undo()
+    bookings.undo()
     assert [(r.free_cpus, r.tasks, r.by_priority) for r in together] == [
         (r.free_cpus, r.tasks, r.by_priority) for r in rooms()
     ]
@@ -318,13 +318,13 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 4)), min_size=2, max_size=14), st.integers(0, 4))
 def test_a_move_is_judged_by_its_difference_as_by_the_whole(data: list[tuple[int, int]], to: int) -> None:
-    rooms = [room(i, 64, 64, frozenset([0])) for i in range(5)]
+    capacities = [room(i, 64, 64, frozenset([0])) for i in range(5)]
     tasks = []
     for index, (cpus, at) in enumerate(data):
-        need = Need(float(cpus), 0.0, cpus * 2.0, None, False, 0)
-        rooms[at].take(need)
-        tasks.append(Replica(index, need, at, at, True))
-    search = Search(rooms, tasks, frozenset(), Weights(0.234, 0.512, 0.254))
+        requirements = Requirements(float(cpus), 0.0, cpus * 2.0, None, False, 0)
+        capacities[at].book(requirements)
+        tasks.append(Replica(index, requirements, at, at, True))
+    search = Search(capacities, tasks, frozenset(), Weights(0.234, 0.512, 0.254))
     task = tasks[0]
     counted = search._counted()
     if task.at == to or to not in counted:
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.admission import Admission
+from spurarch.coordination.admission import AdmissionPlanner
 from spurarch.coordination.ledger_audit import ENTRIES_AT_ONCE, PASS_EVERY_S, LedgerAudit
-from spurarch.coordination.team_ledger import NOTHING, Charge, TeamLedger
+from spurarch.coordination.team_ledger import NO_CHARGE, Charge, QuotaLedger
 from spurarch.coordination.view import FleetView
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
@@ -25,9 +25,9 @@
 ONE = Charge.of(1.0, 0.0)
 
 
-def ledger(**limits: float) -> TeamLedger:
+def ledger(**limits: float) -> QuotaLedger:
     """One team, with index 0."""
-    return TeamLedger({0: Team("t", **limits)})
+    return QuotaLedger({0: Team("t", **limits)})
 
 
 def test_fractional_sizes_added_and_taken_off_a_million_times_leave_nothing() -> None:
@@ -36,11 +36,11 @@
         Charge.of(random.choice([0.1, 0.3, 0.7, 1.1, 3.3]), random.choice([0.0, 0.1, 0.25])) for _ in range(500_000)
     ]
     for size in sizes:
-        books.change(0, size)
+        books.adjust(0, size)
     random.shuffle(sizes)
     for size in sizes:
-        books.change(0, NOTHING - size)
-    assert books.recorded(0) == NOTHING
+        books.adjust(0, NO_CHARGE - size)
+    assert books.recorded(0) == NO_CHARGE
 
 
 def test_three_thirds_of_a_limit_fit_and_a_fourth_does_not() -> None:
@@ -64,14 +64,14 @@
 
 def test_a_limit_below_what_is_charged_admits_nothing_and_is_no_violation() -> None:
     books = ledger(cpus_max=4.0)
-    books.change(0, Charge.of(6.0, 0.0))
-    books.check_limits(whole=False)  # the first reading of all records
+    books.adjust(0, Charge.of(6.0, 0.0))
+    books.check_quotas(whole=False)  # the first reading of all records
     assert books.tasks_allowed(0, ONE, 5) == 0
-    books.change(0, NOTHING - ONE)
-    books.check_limits(whole=True)
+    books.adjust(0, NO_CHARGE - ONE)
+    books.check_quotas(whole=True)
     assert books.violations.count == 0
-    books.change(0, ONE)
-    books.check_limits(whole=True)
+    books.adjust(0, ONE)
+    books.check_quotas(whole=True)
     assert books.violations.count == 1
 
 
@@ -87,27 +87,27 @@
     assert books.tasks_allowed(0, ONE, 9) == 1
     books.release(first)
     books.release(first)
-    assert books.reserved(0) == NOTHING
+    assert books.reserved(0) == NO_CHARGE
 
 
 def test_a_reservation_stands_until_the_copy_shows_what_became_of_it() -> None:
     books = ledger(cpus_max=4.0)
     reservation = books.reserve("job-1", 0, ONE, 3, 10)
     assert reservation is not None
-    books.release_shown(1000, 10)
+    books.release_resolved(1000, 10)
     assert books.reserved_for("job-1") == Charge.of(3.0, 0.0), "nothing is known of it"
-    reservation.shown_by = 1200
-    books.release_shown(1199, 10)
+    reservation.resolved_by_revision = 1200
+    books.release_resolved(1199, 10)
     assert books.reserved_for("job-1") == Charge.of(3.0, 0.0), "the copy is older"
-    books.release_shown(1200, 10)
-    assert books.reserved_for("job-1") == NOTHING
+    books.release_resolved(1200, 10)
+    assert books.reserved_for("job-1") == NO_CHARGE
 
 
 def test_a_reservation_of_an_earlier_term_goes_with_a_copy_of_the_next() -> None:
     books = ledger(cpus_max=4.0)
     assert books.reserve("job-1", 0, ONE, 3, 10) is not None
-    books.release_shown(20, 20)
-    assert books.reserved(0) == NOTHING
+    books.release_resolved(20, 20)
+    assert books.reserved(0) == NO_CHARGE
 
 
 @given(
@@ -127,20 +127,20 @@
             held += reservation.charge.cpus // ONE.cpus
             revision += 1
             if what == "commit":
-                books.change(0, reservation.charge)
+                books.adjust(0, reservation.charge)
                 books.release(reservation)
             else:  # it was carried out and its answer lost: a repeat of it found a conflict at this revision
-                reservation.shown_by = revision
+                reservation.resolved_by_revision = revision
                 lost.append(reservation)
         elif what == "show":
             for reservation in lost:
-                books.change(0, reservation.charge)
+                books.adjust(0, reservation.charge)
             lost.clear()
-            books.release_shown(revision, 1)
+            books.release_resolved(revision, 1)
         elif what == "end" and books.recorded(0).cpus:
-            books.change(0, NOTHING - ONE)
+            books.adjust(0, NO_CHARGE - ONE)
             held -= 1
-        books.check_limits(whole=True)
+        books.check_quotas(whole=True)
         assert held <= 5
     assert books.violations.count == 0
 
@@ -164,12 +164,12 @@
     audit.check_all()
     assert view.ledger.violations.count == 0
     allocation = AllocationKey("a", "job-1", 0)
-    view._count(
+    view._book(
         allocation, view.jobs["job-1"], view._booked.pop(allocation), -1
     )  # what the former table did with a new job
-    view.ledger.change(0, Charge.of(-3.0, 0.0))
+    view.ledger.adjust(0, Charge.of(-3.0, 0.0))
     audit.check_all()
-    assert "job-1 is charged with 0 tasks, and has 3 on record" in view.ledger.violations.texts[0]
+    assert "job-1 is charged with 0 tasks, and has 3 on record" in view.ledger.violations.messages[0]
     assert view.ledger.recorded(0) == Charge.of(9.0, 0.0), "booked anew"
     assert view.ledger.tasks_allowed(0, ONE, 1) == 0, "until a whole pass finds nothing"
     audit.check_all()
@@ -179,7 +179,7 @@
 
 def test_a_total_that_is_not_the_sum_of_its_jobs_is_found() -> None:
     fleet = fleet_of(2)
-    fleet.view.ledger.change(0, NOTHING - ONE)
+    fleet.view.ledger.adjust(0, NO_CHARGE - ONE)
     LedgerAudit(fleet.view).check_all()
     assert fleet.view.ledger.violations.count == 1
     assert fleet.view.ledger.recorded(0) == Charge.of(6.0, 0.0)
@@ -206,7 +206,7 @@
 
         def reserve(view: Any = view) -> None:
             made = view.ledger.reserve("job-1", 0, ONE, 3, 1)
-            view.ledger.release_shown(5, 1)
+            view.ledger.release_resolved(5, 1)
             view.ledger.release(made)
 
         costs.append(calls(reserve))
@@ -221,14 +221,14 @@
     allocation = AllocationKey("a", "job-1", 0)
     fleet.put(str(allocation), Fleet.allot(1, records.ASSIGNED))
     fleet.view.update()
-    assert fleet.view.ledger.recorded(0) == NOTHING
+    assert fleet.view.ledger.recorded(0) == NO_CHARGE
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", 4), 0.0))
     fleet.view.update()
     assert fleet.view.ledger.recorded(0) == Charge.of(4.0, 0.0)
     fleet.state.delete(str(allocation), fleet.state.revision + 1)
     fleet.view.update()
-    assert fleet.view.ledger.recorded(0) == NOTHING
-    assert not fleet.view._jobless
+    assert fleet.view.ledger.recorded(0) == NO_CHARGE
+    assert not fleet.view._allocations_without_job
 
 
 def test_allocations_of_jobs_that_are_over_are_not_kept_for_ever() -> None:
@@ -238,14 +238,14 @@
     fleet.view.update()
     fleet.state.delete(str(allocation), fleet.state.revision + 1)
     fleet.view.update()
-    assert not fleet.view._jobless
+    assert not fleet.view._allocations_without_job
 
 
 def two_teams() -> tuple[Replica, Any]:
     """A copy with a job of each of two teams, and its view."""
     replica = Replica(Store(Answering(), StateLimits(100.0, 100.0, 16.0, 24), 1))
     replica.state.consistent_from = 0
-    view = FleetView(replica.state, [Team("t", cpus_max=8.0), Team("other", cpus_max=8.0)])
+    view = FleetView(replica.state, [Team("t", quota_cpus=8.0), Team("other", quota_cpus=8.0)])
     for job_id, team in (("job-1", "t"), ("job-2", "other")):
         spec = submission(job_id, 4)
         spec.team = team
@@ -308,11 +308,11 @@
 
     def cost(jobs: int) -> int:
         fleet = Fleet(0)
-        fleet.view = FleetView(fleet.state, [Team("t", cpus_max=4.0)])
+        fleet.view = FleetView(fleet.state, [Team("t", quota_cpus=4.0)])
         for i in range(jobs):
             fleet.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
         fleet.put(str(AllocationKey("a", "job-0", 0)), Fleet.allot(0, records.ASSIGNED))
         fleet.view.update()
-        return calls(lambda: Admission(fleet.view, 2.0).run(None, lambda: False, 24))
+        return calls(lambda: AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24))
 
     assert (cost(800) - cost(400)) / 400 < 24
