--- a/spurarch/coordination/command_sender.py
+++ b/spurarch/coordination/command_sender.py
@@ -45,7 +45,7 @@
     async def send(self, owned: OwnedPartition) -> None:
         """Sends what the partition's machines have to be told; their next reports repeat what got lost."""
         partition, now = owned.partition, time.monotonic()
-        if not partition.machines_needing_commands or not self._permissions.commands(now):
+        if not partition.machines_needing_commands or not self._permissions.may_command(now):
             return
         for name in list(partition.machines_needing_commands):
             machine = partition.machines.get(name)
@@ -75,7 +75,7 @@
         async with self._slots:
             self._in_line.discard(machine.name)
             now = time.monotonic()
-            if self._permissions.owns(owned.partition) and self._permissions.commands(now):
+            if self._permissions.owns(owned.partition) and self._permissions.may_command(now):
                 sent = owned.partition.direct_commands(machine)
                 if sent is not None:
                     await self._command(owned, machine, sent)
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from spurarch.coordination.command_sender import direct_connections
-from spurarch.coordination.loop_lag import LoopLag
+from spurarch.coordination.loop_lag import EventLoopLag
 from spurarch.coordination.membership import Membership, rate_shares
 from spurarch.coordination.partition_owner import PartitionOwner
-from spurarch.coordination.stall_detector import BEAT_S, StallDetector
+from spurarch.coordination.stall_detector import CHECK_INTERVAL_S, StallDetector
 from spurarch.coordination.store_reachability import StoreReachability
-from spurarch.coordination.users import Users, error
+from spurarch.coordination.users import JobApi, error
 from spurarch.coordination.view import FleetView
 from spurarch.protocol import peer_messages, wire
 from spurarch.settings import Platform, Tuning
@@ -92,14 +92,16 @@
         platform: Platform,
         tuning: Tuning,
         network: Network | None = None,
-        boot: str | None = None,
+        process_incarnation: str | None = None,
         version: int = records.PROGRAM_VERSION,
         extension: Extension | None = None,
     ) -> None:
         self.platform, self.tuning = platform, tuning
         self.network = network = network or Network()
         deployment = platform.deployment
-        self.boot = boot or os.urandom(8).hex()  # names this process; no other ever has the same
+        self.process_incarnation = (
+            process_incarnation or os.urandom(8).hex()
+        )  # names this process; no other ever has the same
         external = platform.external
         limits = deployment.state
         guard = extension.guard if extension is not None else None
@@ -107,12 +109,18 @@
         self.cloud = Cloud(network.client(external.cloud, 6), deployment.cloud.rps, deployment.count)
         self.replica = Replica(self.store)
         self.membership = Membership(
-            self.replica, platform.node, self.boot, platform.area, deployment.zones, tuning.member_ttl_s, version
+            self.replica,
+            platform.node,
+            self.process_incarnation,
+            platform.area,
+            deployment.zones,
+            tuning.member_ttl_s,
+            version,
         )
         workers = deployment.workers
         self.reachability = StoreReachability([p.node for p in platform.peers], workers.cancel_s, workers.lease_s)
         self.stall_detector = StallDetector()
-        self._lag = LoopLag()
+        self._lag = EventLoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
         self.owner = PartitionOwner(
             self.replica,
@@ -127,17 +135,17 @@
             network,
             extension.coverage if extension is not None else None,
         )
-        self.users = Users(
+        self.job_api = JobApi(
             self.replica,
             self.view,
             deployment,
             [platform.node, *(p.node for p in platform.peers)],
-            self._wake,
-            self._tell_cancelled,
+            self._notify_peers,
+            self._notify_cancelled,
         )
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self.peers = {p.node: network.back_client(p.address) for p in platform.peers}
-        self._waking = curio.Event()
+        self._peer_notification = curio.Event()
         self._loads: dict[str, tuple[peer_messages.Load, float]] = {}
         self._recovery = extension.attach(self) if extension is not None else None
 
@@ -153,12 +161,12 @@
             self._start,
             self.replica.run_sync,
             self.owner.run,
-            self._keep_word,
-            self._beat,
-            self._wake_peers,
+            self._maintain_freshness,
+            self._run_timer,
+            self._send_notifications,
             self._share_rates,
         ]
-        log.info("controller %s starts (%s)", platform.node, self.boot)
+        log.info("controller %s starts (%s)", platform.node, self.process_incarnation)
         async with curio.TaskGroup(wait=any) as group:
             for task in tasks:
                 await group.spawn(self._guarded, task)
@@ -219,8 +227,8 @@
             self.stall_detector,
             self.platform.deployment,
             self.tuning,
-            self.boot,
-            self._wake,
+            self.process_incarnation,
+            self._notify_peers,
         )
 
     # Requests
@@ -240,13 +248,13 @@
         if path == wire.PATH_HEALTH:
             return self._health() if request.method == "GET" else error(405, "use GET")
         if path == wire.PATH_JOBS:
-            return await self.users.submit(request.body) if request.method == "POST" else error(405, "use POST")
+            return await self.job_api.submit(request.body) if request.method == "POST" else error(405, "use POST")
         if path.startswith(wire.PATH_JOBS + "/"):
             job_id, _, rest = path[len(wire.PATH_JOBS) + 1 :].partition("/")
             if not rest:
-                return await self.users.poll(job_id) if request.method == "GET" else error(405, "use GET")
+                return await self.job_api.get(job_id) if request.method == "GET" else error(405, "use GET")
             if rest == wire.PATH_CANCEL:
-                return await self.users.cancel(job_id) if request.method == "POST" else error(405, "use POST")
+                return await self.job_api.cancel(job_id) if request.method == "POST" else error(405, "use POST")
         return error(404, "no such path")
 
     async def _heartbeat(self, request: Request) -> Response:
@@ -266,7 +274,7 @@
         now = time.monotonic()
         if not self.replica.loaded:
             return error(503, "starting")
-        if now - self.replica.synced_at > 3.0 and now - self.reachability.peer_reaches_at < 3.0:
+        if now - self.replica.synced_at > 3.0 and now - self.reachability.peer_reached_store_at < 3.0:
             return error(503, "cut from the state service")
         return Response(200)
 
@@ -278,73 +286,77 @@
             return answer
         hint = peer_messages.decode(frame)
         if isinstance(hint, peer_messages.Load):
-            self._note_refusals(hint)
+            self._record_peer_throttling(hint)
             self._loads[hint.node] = hint, time.monotonic()
-            self.owner.returns.hear(hint.node, dict(hint.strangers), hint.returned)
-            return peer_messages.encode(peer_messages.Wake())
-        if isinstance(hint, peer_messages.Wake):
-            await curio.spawn(self._follow, daemon=True)
+            self.owner.scale_in.on_peer_load(hint.node, dict(hint.unregistered_machines), hint.released_machines)
+            return peer_messages.encode(peer_messages.StateChanged())
+        if isinstance(hint, peer_messages.StateChanged):
+            await curio.spawn(self._sync, daemon=True)
         if isinstance(hint, peer_messages.Ping):
             return peer_messages.encode(await self._pong())
-        if isinstance(hint, peer_messages.Cancelled):
-            self.reachability.note_cancelled(hint.jobs, time.monotonic())
+        if isinstance(hint, peer_messages.JobsCancelled):
+            self.reachability.record_cancelled(hint.jobs, time.monotonic())
             await self.replica.notify()
-        return peer_messages.encode(peer_messages.Wake())
+        return peer_messages.encode(peer_messages.StateChanged())
 
-    def _note_refusals(self, load: peer_messages.Load) -> None:
+    def _record_peer_throttling(self, load: peer_messages.Load) -> None:
         """The state service has lowered its rate if a peer's changes are refused; only where that is announced."""
         before = self._loads.get(load.node)
         announced = self.platform.deployment.state.next is not None
-        if announced and before is not None and load.writes_refused > before[0].writes_refused:
+        if announced and before is not None and load.throttled_writes > before[0].throttled_writes:
             self.store.record_peer_throttled()
 
     async def _pong(self) -> peer_messages.Pong:
         """What this controller knows, whether or not it reaches the state service: a peer may go on by it."""
         reaches = self.replica.loaded and await self.replica.sync(0.8)
         state, now = self.replica.state, time.monotonic()
-        cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled} | set(self.reachability.cancelled)
+        cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled} | set(
+            self.reachability.cancelled_by_peers
+        )
         parts = [(zone, p.node, p.epoch) for zone, p in state.partitions.items()]
         read = self.replica.synced_at
-        age_s, up_s = now - read if read > float("-inf") else -1.0, now - self._began
+        age_s, up_s = now - read if read > float("-inf") else -1.0, now - self._started_at
         if not self.store.trusted:
             # Peers must not go on by the word of one that waits for the records to be rebuilt: how long an owner that
             # is cut off may answer its workers bounds how long the rebuilding has to wait for them.
             age_s, up_s = -1.0, 0.0
-        return peer_messages.Pong(self.platform.node, self.boot, reaches, sorted(cancelled), parts, age_s, up_s)
+        return peer_messages.Pong(
+            self.platform.node, self.process_incarnation, reaches, sorted(cancelled), parts, age_s, up_s
+        )
 
-    async def _tell_cancelled(self, job_id: str) -> None:
+    async def _notify_cancelled(self, job_id: str) -> None:
         """Peers may be cut from the state service at this moment, and the service down in the next."""
-        frame = peer_messages.encode(peer_messages.Cancelled([job_id]))
+        frame = peer_messages.encode(peer_messages.JobsCancelled([job_id]))
         for client in self.peers.values():
             await curio.spawn(client.call, frame, 0.5, daemon=True)
 
-    async def _follow(self) -> None:
+    async def _sync(self) -> None:
         await self.replica.sync()
 
-    async def _beat(self) -> None:
+    async def _run_timer(self) -> None:
         """Notices when this process stood still, and wakes whatever has something to do now and then.
 
         One timer for all: a limit on each wait for news costs more than most of what is done on waking.
         """
         while True:
-            woke_at = self.stall_detector.woke_at
-            if self.stall_detector.beat(time.monotonic()) != woke_at:
+            resumed_at = self.stall_detector.resumed_at
+            if self.stall_detector.check(time.monotonic()) != resumed_at:
                 log.warning("this process stood still; it reads the state service before it goes on")
-                await curio.spawn(self._follow, daemon=True)
+                await curio.spawn(self._sync, daemon=True)
             await self.replica.notify()
-            due = time.monotonic() + BEAT_S
-            await curio.sleep(BEAT_S)
-            self._lag.note(time.monotonic() - due)
+            due = time.monotonic() + CHECK_INTERVAL_S
+            await curio.sleep(CHECK_INTERVAL_S)
+            self._lag.record(time.monotonic() - due)
 
-    async def _wake(self) -> None:
-        await self._waking.set()
+    async def _notify_peers(self) -> None:
+        await self._peer_notification.set()
 
-    async def _wake_peers(self) -> None:
+    async def _send_notifications(self) -> None:
         while True:
-            await self._waking.wait()
-            self._waking.clear()
+            await self._peer_notification.wait()
+            self._peer_notification.clear()
             for client in self.peers.values():
-                await curio.spawn(client.call, peer_messages.encode(peer_messages.Wake()), 0.5, daemon=True)
+                await curio.spawn(client.call, peer_messages.encode(peer_messages.StateChanged()), 0.5, daemon=True)
             await curio.sleep(0.02)
 
     async def _share_rates(self) -> None:
@@ -360,17 +372,19 @@
             mine = peer_messages.Load(
                 node,
                 *self.store.recent_writes(),
-                self.owner.strangers(now),
-                self.owner.returns.unrecorded(),
+                self.owner.unregistered_machines(now),
+                self.owner.scale_in.released_unrecorded(),
                 self.store.throttled_writes,
             )
-            self.owner.returns.heard_elsewhere = {n: dict(load.strangers) for n, load in recent.items()}
+            self.owner.scale_in.unregistered_by_peer = {
+                n: dict(load.unregistered_machines) for n, load in recent.items()
+            }
             recent[node] = mine
             writes = borrowed_share(
                 node,
                 {n: w for n, (_, w) in shares.items()},
                 {n: load.writes / total for n, load in recent.items()},
-                {n for n, load in recent.items() if load.hungry},
+                {n for n, load in recent.items() if load.backlogged},
             )
             self.store.set_shares(shares[node][0], writes)
             self.cloud.set_share(CLOUD_LEADER if node == leader else (1 - CLOUD_LEADER) / max(1, len(nodes) - 1))
@@ -378,16 +392,16 @@
             for client in self.peers.values():
                 await curio.spawn(client.call, frame, 0.5, daemon=True)
             await curio.sleep(SHARE_LEAST_S)
-            await curio.ignore_after(SHARE_S - SHARE_LEAST_S, self.owner.found_stranger.wait)
-            self.owner.found_stranger.clear()
+            await curio.ignore_after(SHARE_S - SHARE_LEAST_S, self.owner.unregistered_machine_found.wait)
+            self.owner.unregistered_machine_found.clear()
 
-    async def _keep_word(self) -> None:
+    async def _maintain_freshness(self) -> None:
         """Reads the state service at least every second, and asks the peers while it can't be read."""
         while True:
             await curio.sleep(0.5)
             now = time.monotonic()
             if now - self.replica.synced_at <= 0.8 or await self.replica.sync(0.8):
-                self.reachability.settle(self.replica.synced_at)
+                self.reachability.discard_confirmed(self.replica.synced_at)
                 continue
             if time.monotonic() - self.replica.synced_at > CUT_AFTER_S:
                 frame = peer_messages.encode(peer_messages.Ping(self.platform.node))
@@ -400,5 +414,5 @@
         answer = await client.call(frame, 2.0)
         hint = peer_messages.decode(answer) if answer is not None else None
         if isinstance(hint, peer_messages.Pong):
-            self.reachability.pong(node, sent, time.monotonic(), hint, self.replica.synced_at)
+            self.reachability.on_pong(node, sent, time.monotonic(), hint, self.replica.synced_at)
             await self.replica.notify()
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -13,7 +13,7 @@
 from spurarch.coordination.job_ends import JobFinalizer
 from spurarch.coordination.ledger_audit import LedgerAudit
 from spurarch.coordination.membership import Membership
-from spurarch.coordination.renting import Renting
+from spurarch.coordination.renting import ScaleOut
 from spurarch.coordination.round_budget import RoundBudget, rest_s
 from spurarch.coordination.stall_detector import StallDetector
 from spurarch.coordination.view import FleetView
@@ -51,7 +51,7 @@
         self._wakeup = replica.listen()
         self._admissions = AdmissionWriter(replica, membership, view, deployment.state, notify_peers)
         self._finalizer = JobFinalizer(replica, view, deployment.state)
-        self._scale_out = Renting(
+        self._scale_out = ScaleOut(
             replica, membership, view, cloud, stall_detector, deployment, tuning, process_incarnation
         )
         self._next_job: str | None = None
@@ -111,7 +111,7 @@
             time.time(),
             self.tuning.ahead_s,
             self.tuning.longest_wait_s,
-            self._scale_out.coming(now),
+            self._scale_out.booting_capacity(now),
             max(1, round(PIECE * scarce)),
         )
         plan = admission.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
--- a/spurarch/coordination/loop_lag.py
+++ b/spurarch/coordination/loop_lag.py
@@ -12,13 +12,13 @@
 LONGEST_PAUSE_S = 0.25
 
 
-class LoopLag:
+class EventLoopLag:
     """The recent lateness of the event loop."""
 
     def __init__(self) -> None:
         self.recent_s = 0.0
 
-    def note(self, late_s: float) -> None:
+    def record(self, late_s: float) -> None:
         """A timer fired so much later than it was due."""
         self.recent_s = max(late_s, self.recent_s * DECAY)
 
--- a/spurarch/coordination/membership.py
+++ b/spurarch/coordination/membership.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-HOME_AFTER_S = 4.0
-UNFIT_S = 60.0
+SETTLED_AFTER_S = 4.0
+ISOLATED_S = 60.0
 
 
 def starts_gangs(member: MemberRecord) -> bool:
@@ -35,7 +35,7 @@
 
 def assign_partitions(
     zones: list[str],
-    parts: dict[str, PartitionRecord],
+    partitions: dict[str, PartitionRecord],
     members: dict[str, MemberRecord],
     settled: set[str],
     gangs: bool = False,
@@ -52,12 +52,12 @@
         members = {node: member for node, member in members.items() if starts_gangs(member)}
     load = dict.fromkeys(members, 0)
     for zone in zones:
-        partition = parts.get(zone)
+        partition = partitions.get(zone)
         if partition is not None and partition.node in load:
             load[partition.node] += 1
     out: dict[str, str] = {}
     for zone in zones:
-        partition = parts.get(zone)
+        partition = partitions.get(zone)
         able = [m for m in members.values() if zone not in m.isolated_zones]
         if not able and partition is not None and partition.node in members:
             continue
@@ -96,25 +96,27 @@
         self,
         replica: Replica,
         node: str,
-        boot: str,
+        process_incarnation: str,
         area: str,
         zones: list[str],
         ttl_s: float,
         version: int = records.PROGRAM_VERSION,
     ) -> None:
-        self.replica, self.node, self.boot, self.area = replica, node, boot, area
+        self.replica, self.node, self.process_incarnation, self.area = replica, node, process_incarnation, area
         self.zones, self.ttl_s, self.version = zones, ttl_s, version
         self._wakeup = replica.listen()
         self._lease: int | None = None
-        self._unfit: dict[str, float] = {}
-        self._dark: set[str] = set()
-        self._seen: dict[str, tuple[str, float]] = {}
+        self._isolated_until: dict[str, float] = {}
+        self._unreachable_zones: set[str] = set()
+        self._members_first_seen: dict[str, tuple[str, float]] = {}
 
     @property
     def leading(self) -> bool:
         """This process is the leader on record."""
         leader = self.replica.state.leader
-        return leader is not None and leader.node == self.node and leader.process_incarnation == self.boot
+        return (
+            leader is not None and leader.node == self.node and leader.process_incarnation == self.process_incarnation
+        )
 
     @property
     def confirmed_term(self) -> int | None:
@@ -128,25 +130,27 @@
         term = state.version(records.LEADER)
         return term if self.leading and self.replica.consistent and state.revision >= term else None
 
-    def holds(self, zone: str) -> PartitionRecord | None:
+    def owned_record(self, zone: str) -> PartitionRecord | None:
         """The part's record if this process holds it."""
         partition = self.replica.state.partitions.get(zone)
         return (
             partition
-            if partition is not None and partition.node == self.node and partition.process_incarnation == self.boot
+            if partition is not None
+            and partition.node == self.node
+            and partition.process_incarnation == self.process_incarnation
             else None
         )
 
-    def note_unheard(self, zone: str, now: float) -> None:
+    def mark_isolated(self, zone: str, now: float) -> None:
         """This controller seems cut from the workers of a zone: another one should hold it for a while."""
-        self._unfit[zone] = now + UNFIT_S
+        self._isolated_until[zone] = now + ISOLATED_S
 
-    def note_dark(self, zone: str, dark: bool) -> None:
+    def set_unreachable(self, zone: str, unreachable: bool) -> None:
         """Nobody hears the workers of a zone that is held here: it takes no new tasks, and no machines."""
-        if dark:
-            self._dark.add(zone)
+        if unreachable:
+            self._unreachable_zones.add(zone)
         else:
-            self._dark.discard(zone)
+            self._unreachable_zones.discard(zone)
 
     async def run_lease(self) -> None:
         """Obtains and renews the lease that says that this controller lives."""
@@ -184,9 +188,9 @@
     async def _join(self) -> None:
         member = self.replica.state.members.get(self.node)
         now = time.monotonic()
-        unfit = sorted(zone for zone, until in self._unfit.items() if until > now)
-        dark = sorted(zone for zone in self._dark if self.holds(zone) is not None)
-        record = MemberRecord(self.node, self.boot, self.area, unfit, dark, self.version)
+        unfit = sorted(zone for zone, until in self._isolated_until.items() if until > now)
+        dark = sorted(zone for zone in self._unreachable_zones if self.owned_record(zone) is not None)
+        record = MemberRecord(self.node, self.process_incarnation, self.area, unfit, dark, self.version)
         if self._lease is not None and member != record:
             result = await self.replica.commit(
                 [Write(records.MEMBER + self.node, record, self._lease)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
@@ -197,15 +201,15 @@
     async def _elect(self) -> None:
         leader = self.replica.state.leader
         member = self.replica.state.members.get(self.node)
-        if self._lease is None or member is None or member.process_incarnation != self.boot:
+        if self._lease is None or member is None or member.process_incarnation != self.process_incarnation:
             return
         if (
             leader is None
-            or (leader.node == self.node and leader.process_incarnation != self.boot)
+            or (leader.node == self.node and leader.process_incarnation != self.process_incarnation)
             or self._outdated(leader)
         ):
             result = await self.replica.commit(
-                [Write(records.LEADER, LeaderRecord(self.node, self.boot), self._lease)],
+                [Write(records.LEADER, LeaderRecord(self.node, self.process_incarnation), self._lease)],
                 give_up_s=2.0,
                 urgency=Urgency.MEMBERSHIP,
             )
@@ -226,9 +230,11 @@
     async def _assign(self) -> None:
         state, now = self.replica.state, time.monotonic()
         for node, member in state.members.items():
-            if self._seen.get(node, ("", 0.0))[0] != member.process_incarnation:
-                self._seen[node] = member.process_incarnation, now
-        settled = {n for n, (_, at) in self._seen.items() if n in state.members and now - at >= HOME_AFTER_S}
+            if self._members_first_seen.get(node, ("", 0.0))[0] != member.process_incarnation:
+                self._members_first_seen[node] = member.process_incarnation, now
+        settled = {
+            n for n, (_, at) in self._members_first_seen.items() if n in state.members and now - at >= SETTLED_AFTER_S
+        }
         for zone, node in assign_partitions(
             self.zones, state.partitions, state.members, settled, self._gangs()
         ).items():
@@ -248,8 +254,8 @@
         A process that starts again claims at once: what its predecessor sent carries lower tokens from then on.
         """
         for zone, partition in list(self.replica.state.partitions.items()):
-            if partition.node == self.node and partition.process_incarnation != self.boot:
-                record = PartitionRecord(self.node, partition.epoch + 1, self.boot)
+            if partition.node == self.node and partition.process_incarnation != self.process_incarnation:
+                record = PartitionRecord(self.node, partition.epoch + 1, self.process_incarnation)
                 result = await self.replica.commit(
                     [Write(records.PARTITION + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
                 )
--- a/spurarch/coordination/owned_partition.py
+++ b/spurarch/coordination/owned_partition.py
@@ -24,15 +24,15 @@
         self.wakeup = curio.Event()
         self.next_search = 0.0
         self.next_tick = 0.0
-        self.next_returns = 0.0
-        self.next_look = 0.0
-        self.next_overdue = 0.0
+        self.next_idle_check = 0.0
+        self.next_silence_check = 0.0
+        self.next_overdue_check = 0.0
         self.cleaned_at = 0.0
-        self.peopled_at = partition.claimed_at  # when the part last had machines
-        self.working = False
+        self.last_populated_at = partition.claimed_at  # when the part last had machines
+        self.is_running = False
         self.provisional = False  # it works by records that were read before its claim, to stop what is cancelled
-        self.cut = False
-        self.cut_since: float | None = None  # most machines are silent
+        self.mostly_silent = False
+        self.mostly_silent_since: float | None = None  # most machines are silent
 
     @cached_property
     def placer(self) -> TaskPlacer:
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition_owner.py
@@ -12,13 +12,13 @@
 
 from spurarch.coordination.allocation_changes import checkpoint_grace_s, is_live_gang, merge_changes
 from spurarch.coordination.command_sender import CommandSender
-from spurarch.coordination.loop_lag import LoopLag
+from spurarch.coordination.loop_lag import EventLoopLag
 from spurarch.coordination.machine import MachineState, TaskAttempt
 from spurarch.coordination.membership import Membership
 from spurarch.coordination.owned_partition import OwnedPartition
 from spurarch.coordination.partition import ArchiveCoverage, Partition
 from spurarch.coordination.permissions import Permissions
-from spurarch.coordination.releasing import MachineReleaser
+from spurarch.coordination.releasing import ScaleIn
 from spurarch.coordination.round_budget import RoundBudget
 from spurarch.coordination.stall_detector import StallDetector
 from spurarch.coordination.store_reachability import StoreReachability
@@ -37,7 +37,7 @@
 
 TICK_S = 0.1
 PAUSE_S = 0.03
-PART_TICK_S = 0.2  # a little below the interval at which all who wait for news are woken
+PARTITION_TICK_S = 0.2  # a little below the interval at which all who wait for news are woken
 MOST_PLACED = 200  # allocations in one round
 MOST_BATCHES = 2  # of one urgency in one round, so that what comes meanwhile is planned in its place
 GATHER_S = 3.0
@@ -46,7 +46,7 @@
 SCARCE_LEVEL = 0.5
 CLEAN_S = 10.0
 SILENT_HEARTBEATS = 2.5
-STRANGERS_S = 5.0  # a worker that looks for its owner comes by more often than that
+UNREGISTERED_KEPT_S = 5.0  # a worker that looks for its owner comes by more often than that
 MOVE_S = 15.0
 SEARCH_PUT_OFF_S = 30.0  # at most, while the event loop is late
 
@@ -72,7 +72,7 @@
         cloud: Cloud,
         reachability: StoreReachability,
         stall_detector: StallDetector,
-        lag: LoopLag,
+        lag: EventLoopLag,
         deployment: Deployment,
         tuning: Tuning,
         network: Network,
@@ -85,11 +85,11 @@
         self._most_changes = deployment.state.transaction_changes
         self.owned: dict[str, OwnedPartition] = {}
         self.permissions = Permissions(replica, membership, reachability, stall_detector, deployment.workers.cancel_s)
-        self.returns = MachineReleaser(
+        self.scale_in = ScaleIn(
             replica, membership, view, cloud, self.permissions, stall_detector, deployment, tuning, self.owned
         )
-        self._strangers: dict[str, dict[str, float]] = {}
-        self.found_stranger = curio.Event()  # a worker that its owner gave up for unheard
+        self._unregistered_machines: dict[str, dict[str, float]] = {}
+        self.unregistered_machine_found = curio.Event()  # a worker that its owner gave up for unheard
         self._wakeup = replica.listen()
         self._changed_keys = replica.state.subscribe()
         self._commands = CommandSender(
@@ -105,31 +105,31 @@
 
     async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> tuple[int, bytes]:
         """Answers a report: 200 as owner, 421 to steer the worker, 503 if nobody can tell."""
-        heard = self.reachability.parts.get(heartbeat.zone)
+        heard = self.reachability.partitions_by_peers.get(heartbeat.zone)
         partition = self.replica.state.partitions.get(heartbeat.zone)
         if (
             self.permissions.superseded(heartbeat.zone)
             and heard is not None
-            and self.reachability.answers(heard[0], now)
+            and self.reachability.peer_responds(heard[0], now)
         ):
             return 421, wire.encode(wire.Redirect(heard[0]))  # a peer told us
-        if self.membership.holds(heartbeat.zone) is None:
+        if self.membership.owned_record(heartbeat.zone) is None:
             lost = heartbeat.zone in self.view.unreachable_zones()
             if heartbeat.zone in self.deployment.zones:
-                self._strangers.setdefault(heartbeat.zone, {})[heartbeat.machine] = now
+                self._unregistered_machines.setdefault(heartbeat.zone, {})[heartbeat.machine] = now
             if lost:
                 # Its owner believes that nobody hears it. Sent back there, the worker would lose what is left of its
                 # lease; the next controller may know of another owner.
-                await self.found_stranger.set()
+                await self.unregistered_machine_found.set()
                 return 421, b"{}"
             if partition is None or partition.node == self.membership.node:
                 return 503, wire.encode(wire.ErrorBody("the owner of this zone is not known yet"))
             return 421, wire.encode(wire.Redirect(partition.node))
-        if not self.permissions.answers(now):
+        if not self.permissions.may_answer(now):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        owned = self._own(heartbeat.zone, now)
+        owned = self._owned_partition(heartbeat.zone, now)
         occasions = owned.partition.scheduling_triggers
-        commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.steady(now))
+        commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.is_not_stalled(now))
         if commands is None:
             return 503, wire.encode(wire.ErrorBody("not entitled to this worker"))
         machine = owned.partition.machines[heartbeat.machine]
@@ -137,13 +137,15 @@
             await owned.wakeup.set()
         return 200, wire.encode(wire.HeartbeatResponse(owned.partition.fencing_token(machine), commands))
 
-    def strangers(self, now: float) -> list[tuple[str, int]]:
+    def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
         """By zone, workers that reported here of late though another holds their zone."""
-        for zone, heard in self._strangers.items():
-            self._strangers[zone] = {name: at for name, at in heard.items() if now - at < STRANGERS_S}
-        return [(zone, len(heard)) for zone, heard in self._strangers.items() if heard]
+        for zone, heard in self._unregistered_machines.items():
+            self._unregistered_machines[zone] = {
+                name: at for name, at in heard.items() if now - at < UNREGISTERED_KEPT_S
+            }
+        return [(zone, len(heard)) for zone, heard in self._unregistered_machines.items() if heard]
 
-    def _own(self, zone: str, now: float) -> OwnedPartition:
+    def _owned_partition(self, zone: str, now: float) -> OwnedPartition:
         """The part in memory, begun anew with every epoch."""
         record = self.replica.state.partitions[zone]
         owned = self.owned.get(zone)
@@ -160,7 +162,7 @@
                 self.tuning,
                 SILENT_HEARTBEATS * self.deployment.workers.heartbeat_interval_s,
             )
-            owned.partition.time_since_cancellation = self.permissions.cancelled_ago
+            owned.partition.time_since_cancellation = self.permissions.time_since_cancellation
             if self._coverage is not None:
                 owned.partition.coverage = self._coverage
                 owned.partition.may_start = lambda: self.replica.store.trusted
@@ -182,21 +184,21 @@
             await self._wakeup.wait()
             self._wakeup.clear()
             if self.replica.loaded:
-                await self._look_around(time.monotonic())
-                await self.returns.watch_orphans(time.monotonic())
+                await self._update_owned(time.monotonic())
+                await self.scale_in.watch_orphans(time.monotonic())
             await curio.sleep(PAUSE_S)
 
-    async def _look_around(self, now: float) -> None:
+    async def _update_owned(self, now: float) -> None:
         for zone in list(self.owned):
-            if self.membership.holds(zone) is None:
+            if self.membership.owned_record(zone) is None:
                 log.info("partition %s is no longer owned here", zone)
                 await self.owned.pop(zone).wakeup.set()
-        self._spread_news()
+        self._distribute_changes()
         for zone in self.deployment.zones:
-            if self.membership.holds(zone) is not None:
-                owned = self._own(zone, now)
-                if not owned.working:
-                    owned.working = True
+            if self.membership.owned_record(zone) is not None:
+                owned = self._owned_partition(zone, now)
+                if not owned.is_running:
+                    owned.is_running = True
                     await curio.spawn(self._run_partition, owned, daemon=True)
                     await curio.spawn(self._run_commands, owned, daemon=True)
                 if owned.changed_keys or now >= owned.next_tick:
@@ -211,7 +213,7 @@
             try:
                 await self._prepare(owned)
                 if owned.partition.records_read:
-                    await self._work(owned)
+                    await self._run_round(owned)
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
@@ -230,22 +232,22 @@
             await curio.sleep(TICK_S)
             try:
                 if (owned.partition.records_read or owned.provisional) and self.permissions.owns(owned.partition):
-                    self._obey_cancels(owned)
+                    self._stop_jobs_cancelled_by_peers(owned)
                     await self._send(owned)
-                    await self.returns.watch_overdue(owned, time.monotonic())
+                    await self.scale_in.watch_overdue(owned, time.monotonic())
                     if owned.partition.records_read:
-                        await self.returns.watch_silence(owned, time.monotonic())
+                        await self.scale_in.watch_silence(owned, time.monotonic())
             except curio.CancelledError:
                 raise
             except Exception:  # must not end the controller
                 log.exception("commands of partition %s failed", owned.partition.zone)
 
-    def _obey_cancels(self, owned: OwnedPartition) -> None:
+    def _stop_jobs_cancelled_by_peers(self, owned: OwnedPartition) -> None:
         """Cancels that peers passed on while the state service is out of reach."""
-        for job_id in self.reachability.cancelled:
+        for job_id in self.reachability.cancelled_by_peers:
             owned.partition.stop_job(job_id, time.monotonic())
 
-    def _spread_news(self) -> None:
+    def _distribute_changes(self) -> None:
         """Notes changed records for every part."""
         self.view.update()
         if self._changed_keys:
@@ -254,7 +256,7 @@
                 owned.changed_keys.update((key, None) for key in self._changed_keys if key.startswith(mine))
             self._changed_keys.clear()
 
-    def _take_news(self, owned: OwnedPartition, now: float) -> None:
+    def _apply_changes(self, owned: OwnedPartition, now: float) -> None:
         if owned.changed_keys:
             owned.partition.apply_records(self.replica.state, owned.changed_keys, now)
             owned.changed_keys.clear()
@@ -269,29 +271,29 @@
                     partition.apply_records(state, list(state.entries), time.monotonic())
                     owned.provisional = True
                 return
-            self._spread_news()
+            self._distribute_changes()
             partition.apply_records(state, list(dict.fromkeys([*state.entries, *owned.changed_keys])), time.monotonic())
             owned.changed_keys.clear()
             partition.records_read = True
         else:
-            self._spread_news()
-            self._take_news(owned, time.monotonic())
-        self._obey_cancels(owned)
+            self._distribute_changes()
+            self._apply_changes(owned, time.monotonic())
+        self._stop_jobs_cancelled_by_peers(owned)
 
-    async def _work(self, owned: OwnedPartition) -> None:
+    async def _run_round(self, owned: OwnedPartition) -> None:
         partition, state, now = owned.partition, self.replica.state, time.monotonic()
         writes: list[Write] = []
-        if now >= owned.next_tick and self.permissions.steady(now):
-            owned.next_tick = now + PART_TICK_S
+        if now >= owned.next_tick and self.permissions.is_not_stalled(now):
+            owned.next_tick = now + PARTITION_TICK_S
             partition.tick(now)
             writes = self._machine_writes(partition, now)
         partition.now = now
-        changes = partition.terminal_entries(state, self._gather_s())
+        changes = partition.terminal_entries(state, self._batch_delay_s())
         if partition.unassigned:
             budget = self._round_budget()
             owned.placer.writes_scarce = self.replica.store.write_level() < SCARCE_LEVEL
             placed = owned.placer.run_round(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
-            if self.permissions.fresh(now):
+            if self.permissions.records_are_fresh(now):
                 for attempt in placed.preempt:
                     log.info("preempting %s/%d on %s", *attempt.key, attempt.machine)
                     partition.request_stop(attempt, self._grace(attempt))
@@ -300,21 +302,21 @@
             if placed.unfinished:
                 await owned.wakeup.set()
         await self._commit(owned, changes, writes)
-        self._refine(owned, now)
+        self._run_local_search(owned, now)
         await self._send(owned)
-        await self.returns.return_idle(owned, now)
+        await self.scale_in.release_idle(owned, now)
 
     def _round_budget(self) -> RoundBudget:
         return RoundBudget(self.tuning.budget_ms / 1000, self.deployment.limits.cpu)
 
-    def _gather_s(self) -> float:
+    def _batch_delay_s(self) -> float:
         """How long ends are gathered: not at all while changes are to be had, longer the scarcer they are."""
         level = self.replica.store.write_level()
         if level <= Urgency.STARTS.value:
             return GATHER_SCARCE_S
         return GATHER_S * min(1.0, max(0.0, GATHER_BELOW - level) / GATHER_BELOW)
 
-    def _refine(self, owned: OwnedPartition, now: float) -> None:
+    def _run_local_search(self, owned: OwnedPartition, now: float) -> None:
         """The round of Tabu search and consolidation, and reopening what was being emptied when tasks wait."""
         partition = owned.partition
         if partition.unassigned:
@@ -324,7 +326,7 @@
             return
         first = owned.next_search == 0.0
         owned.next_search = now + self.tuning.round_s
-        if first or not self.permissions.fresh(now):
+        if first or not self.permissions.records_are_fresh(now):
             return
         from spurarch.coordination.local_search import refine  # not needed to answer workers after a restart
 
@@ -485,6 +487,6 @@
     async def _send(self, owned: OwnedPartition) -> None:
         """Starts and stops go straight to the worker, by what the records say now."""
         if owned.partition.records_read:
-            self._spread_news()
-            self._take_news(owned, time.monotonic())
+            self._distribute_changes()
+            self._apply_changes(owned, time.monotonic())
         await self._commands.send(owned)
--- a/spurarch/coordination/permissions.py
+++ b/spurarch/coordination/permissions.py
@@ -32,42 +32,44 @@
         )
         self._cancel_s = cancel_s
 
-    def answers(self, now: float) -> bool:
+    def may_answer(self, now: float) -> bool:
         """May keep workers' leases: no cancellation can have been missed for too long."""
-        return self.reachability.entitled(self.replica.synced_at, now)
+        return self.reachability.may_answer(self.replica.synced_at, now)
 
-    def commands(self, now: float) -> bool:
+    def may_command(self, now: float) -> bool:
         """May give commands: that, and it did not stand still since the newest word."""
-        return self.answers(now) and self.steady(now)
+        return self.may_answer(now) and self.is_not_stalled(now)
 
-    def steady(self, now: float) -> bool:
+    def is_not_stalled(self, now: float) -> bool:
         """Not just woken from standing still without a word from anyone since."""
-        return self._stall_detector.steady(now, self.reachability.word(self.replica.synced_at))
+        return self._stall_detector.confirmed_since_stall(
+            now, self.reachability.freshness_bound(self.replica.synced_at)
+        )
 
-    def fresh(self, now: float) -> bool:
+    def records_are_fresh(self, now: float) -> bool:
         """The copy of the records is recent: what only serves placement waits while this controller may be deposed."""
-        return now - self.replica.synced_at < FRESH_S and self.steady(now) and self.replica.store.trusted
+        return now - self.replica.synced_at < FRESH_S and self.is_not_stalled(now) and self.replica.store.trusted
 
     def owns(self, partition: Partition) -> bool:
         """The part is still held as it was when this was begun.
 
         Not by another, and not anew by ourselves, whose earlier knowledge of it would then be as stale as a stranger's.
         """
-        record = self.membership.holds(partition.zone)
+        record = self.membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
 
     def superseded(self, zone: str) -> bool:
         """Another holds the zone by now, as a peer says whose copy is newer than ours."""
-        heard, partition = self.reachability.parts.get(zone), self.replica.state.partitions.get(zone)
+        heard, partition = self.reachability.partitions_by_peers.get(zone), self.replica.state.partitions.get(zone)
         return (
             heard is not None and heard[0] != self.membership.node and (partition is None or heard[1] > partition.epoch)
         )
 
-    def cancelled_ago(self, job: str) -> float | None:
+    def time_since_cancellation(self, job: str) -> float | None:
         """Seconds since a job was cancelled, as far as can be told, or None if it is not known to be."""
         record = self.replica.state.jobs.get(job)
         if record is not None and record.cancelled:
             ago = time.time() - record.cancelled_at if record.cancelled_at > 0 else 0.0
             return min(max(ago, 0.0), self._cancel_s)
-        told = self.reachability.cancelled.get(job)
+        told = self.reachability.cancelled_by_peers.get(job)
         return time.monotonic() - told if told is not None else None
--- a/spurarch/coordination/placing.py
+++ b/spurarch/coordination/placing.py
@@ -319,7 +319,7 @@
 
         Hundreds of tasks may wait for many rounds, so what is the same for all of them is asked once.
         """
-        job_id, now, patience = job.job_id, self.now, self._max_wait_s()
+        job_id, now, timeout_s = job.job_id, self.now, self._max_wait_s()
         guaranteed = job_id in self.view.jobs_within_guarantee()
         lower, elsewhere = self._lower(job.requirements.priority), True
         may_be_stuck = self._stuck(float("-inf"))
@@ -335,7 +335,7 @@
             lower = False  # what found nobody to stop once finds nobody in the rest of the round
             if guaranteed and waited_s > self.placer.guarantee_wait_s and self._take_back(key, job):
                 continue
-            if waited_s <= patience:
+            if waited_s <= timeout_s:
                 continue
             if may_be_stuck and self._stuck(since):
                 self._give_back(allocation, entry)
--- a/spurarch/coordination/provisioning.py
+++ b/spurarch/coordination/provisioning.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class MachineKind:
     """A kind of machine that can be rented: type, zone, and spot or ordinary."""
 
     type: str
@@ -29,14 +29,14 @@
 
 
 @dataclass(slots=True)
-class Order:
+class ScaleOutOrder:
     """Machines to rent."""
 
-    kind: Kind
+    kind: MachineKind
     count: int
 
 
-def room_of(view: FleetView, offer: wire.MachineType, kind: Kind) -> MachineCapacity:
+def empty_capacity(view: FleetView, offer: wire.MachineType, kind: MachineKind) -> MachineCapacity:
     """An empty machine of a kind, as the decisions see one."""
     return MachineCapacity(
         -1,
@@ -52,7 +52,7 @@
     )
 
 
-class Turnover:
+class FreedCapacityEstimate:
     """Room that running arrays will free before a rented machine could help.
 
     A machine rented for a task takes its boot time to come up, and by then much of what runs now has ended. So only
@@ -61,7 +61,7 @@
     """
 
     def __init__(self, view: FleetView, share: float) -> None:
-        self._boot = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
+        self._boot_time_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
         self._rate = share * sum(
             job.assigned * job.requirements.cpus / max(job.estimate_s, 1.0)
             for job in view.jobs.values()
@@ -73,24 +73,24 @@
         """How many of these tasks need no machine of their own."""
         if shortage.service or shortage.requirements.cpus <= 0:
             return 0
-        freed = self._rate * self._boot
+        freed = self._rate * self._boot_time_s
         count = min(shortage.count, int(max(0.0, freed - self._claimed) / shortage.requirements.cpus))
         self._claimed += count * shortage.requirements.cpus
         return count
 
 
-def plan_rentals(
+def plan_scale_out(
     view: FleetView,
     shortages: Iterable[CapacityShortage],
-    booting: Iterable[Kind],
-    closed: set[Kind],
+    booting: Iterable[MachineKind],
+    exhausted: set[MachineKind],
     zones: list[str],
-    turnover: Turnover,
+    freed: FreedCapacityEstimate,
     now: float,
-) -> list[Order]:
+) -> list[ScaleOutOrder]:
     """Rents for the tasks that fit neither on what is up nor on what is booting, at the least price per task."""
-    capacities = [room_of(view, view.machine_types[k.type], k) for k in booting if k.type in view.machine_types]
-    owned: dict[Kind, int] = defaultdict(int)
+    capacities = [empty_capacity(view, view.machine_types[k.type], k) for k in booting if k.type in view.machine_types]
+    owned: dict[MachineKind, int] = defaultdict(int)
     per_zone: dict[int, int] = defaultdict(int)
     for zone, there in view.capacities_by_zone.items():
         per_zone[zone] += len(there)
@@ -98,12 +98,12 @@
         per_zone[capacity.zone] += 1
     boot_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
     for shortage in _alike(_in_waves(shortage, now, boot_s) for shortage in shortages):
-        left = shortage.count - turnover.absorb(shortage)
+        left = shortage.count - freed.absorb(shortage)
         open_zones = zones
         if shortage.gang and left > 0:
             by_room = _zones_by_room(view, shortage.requirements, left, capacities, zones)
             rentable = (
-                z for z in by_room if _cheapest(view, shortage.requirements, left, closed, [z], per_zone) is not None
+                z for z in by_room if _cheapest(view, shortage.requirements, left, exhausted, [z], per_zone) is not None
             )
             open_zones = list(islice(rentable, 1))
         for capacity in capacities:
@@ -117,18 +117,18 @@
                 left -= taken
         capacities = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
         while left > 0:
-            kind = _cheapest(view, shortage.requirements, left, closed, open_zones, per_zone)
+            kind = _cheapest(view, shortage.requirements, left, exhausted, open_zones, per_zone)
             if kind is None or sum(owned.values()) >= MOST_PLANNED:
                 break
             owned[kind] += 1
-            capacity = room_of(view, view.machine_types[kind.type], kind)
+            capacity = empty_capacity(view, view.machine_types[kind.type], kind)
             per_zone[capacity.zone] += 1
             taken = capacity.task_slots(shortage.requirements, left)
             capacity.book(shortage.requirements, taken)
             left -= taken
             if capacity.free_cpus > EPSILON:
                 capacities.append(capacity)
-    return [Order(kind, min(count, MOST_AT_ONCE)) for kind, count in owned.items()]
+    return [ScaleOutOrder(kind, min(count, MOST_AT_ONCE)) for kind, count in owned.items()]
 
 
 def _zones_by_room(
@@ -178,13 +178,13 @@
     view: FleetView,
     requirements: Requirements,
     count: int,
-    closed: set[Kind],
+    closed: set[MachineKind],
     zones: list[str],
     per_zone: dict[int, int],
-) -> Kind | None:
+) -> MachineKind | None:
     """The kind with the least price per task, in the zone with the fewest machines."""
     best: tuple[float, int, str] | None = None
-    choice: Kind | None = None
+    choice: MachineKind | None = None
     for offer in view.machine_types.values():
         fit = _tasks_per_machine(requirements, offer)
         type_index = view.types.index(offer.name)
@@ -195,7 +195,7 @@
             if zone not in zones or (requirements.zones is not None and zone_index not in requirements.zones):
                 continue
             for spot in (True, False):
-                kind = Kind(offer.name, zone, spot)
+                kind = MachineKind(offer.name, zone, spot)
                 if kind in closed or (spot and not requirements.spot):
                     continue
                 price = (offer.spot_price if spot else offer.price) / min(fit, count)
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/release_candidates.py
@@ -17,11 +17,11 @@
 SUSPECT_HEARTBEATS, SUSPECT_SHARE = 1.6, 1 / 3
 FIND_S = 5.5
 LOST_LEASES = 3.0
-OVERDUE, OVERDUE_UNHEARD = 0.4, 0.8  # of the time that a cancellation has
+OVERDUE, OVERDUE_UNCONFIRMED = 0.4, 0.8  # of the time that a cancellation has
 OVERDUE_HEARTBEATS = 4.0
 
 
-def cut_off(partition: Partition, workers: Workers, now: float, woke_at: float = 0.0) -> bool:
+def cut_off(partition: Partition, workers: Workers, now: float, resumed_at: float = 0.0) -> bool:
     """Most of a part's machines fell silent at once: more likely this controller is cut off than they are gone.
 
     Returning them would throw away a zone of healthy machines that report to another controller by now. Silence counts
@@ -36,9 +36,9 @@
         if machine.state is MachineState.UNCONFIRMED:
             # Workers need a while to find a new owner. All count together: one machine that was heard once must not
             # stand for a zone that nobody has heard since.
-            silent += now - max(partition.claimed_at, machine.first_seen, woke_at) > limit + FIND_S
+            silent += now - max(partition.claimed_at, machine.first_seen, resumed_at) > limit + FIND_S
         else:
-            silent += now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > limit
+            silent += now - max(machine.last_heartbeat_at or machine.first_seen, resumed_at) > limit
     return silent >= 2 and 2 * silent > total
 
 
@@ -46,23 +46,27 @@
     partition: Partition,
     tuning: Tuning,
     workers: Workers,
-    old_holder_s: float,
+    previous_owner_s: float,
     now: float,
     cut: bool,
-    woke_at: float = 0.0,
+    resumed_at: float = 0.0,
 ) -> list[Machine]:
     """Silent and deaf machines to return, which is the fastest proof that their tasks are off.
 
     `old_holder_s` is how long an owner before us may go on answering workers after it was last heard of.
     """
-    out = [m for m in partition.machines.values() if _silent(partition, m, tuning, workers, old_holder_s, now, woke_at)]
-    if cut or _suspect(partition, workers, now, woke_at):
+    out = [
+        m
+        for m in partition.machines.values()
+        if _silent(partition, m, tuning, workers, previous_owner_s, now, resumed_at)
+    ]
+    if cut or _suspect(partition, workers, now, resumed_at):
         # Those that nobody answered for longer than a lease are no loss, whoever is cut off.
         return [m for m in out if m.state is not MachineState.ACTIVE]
     return out
 
 
-def _suspect(partition: Partition, workers: Workers, now: float, woke_at: float) -> bool:
+def _suspect(partition: Partition, workers: Workers, now: float, resumed_at: float) -> bool:
     """So many machines are late with their reports that this may be a cut, before it is plain to see.
 
     When a controller is cut off, the first machines pass the patience for a single one before half of them pass the
@@ -70,7 +74,7 @@
     """
     known = [m for m in partition.machines.values() if m.state is MachineState.ACTIVE and not m.releasing]
     late = sum(
-        now - max(m.last_heartbeat_at or m.first_seen, woke_at) > SUSPECT_HEARTBEATS * workers.heartbeat_interval_s
+        now - max(m.last_heartbeat_at or m.first_seen, resumed_at) > SUSPECT_HEARTBEATS * workers.heartbeat_interval_s
         for m in known
     )
     return late >= 2 and late > SUSPECT_SHARE * len(known)
@@ -81,31 +85,31 @@
     machine: Machine,
     tuning: Tuning,
     workers: Workers,
-    old_holder_s: float,
+    previous_owner_s: float,
     now: float,
-    woke_at: float,
+    resumed_at: float,
 ) -> bool:
     if machine.state is MachineState.RELEASED or machine.releasing:
         return False
     if machine.state is MachineState.UNCONFIRMED:
         # An old owner that is cut off from all but its workers may keep it alive, so time proves nothing, and its
         # return would end healthy work. Such an owner stops in the end, and then its workers look for us.
-        return now - max(partition.claimed_at, machine.first_seen, woke_at) > max(
-            workers.lease_s * 1.5, old_holder_s + FIND_S
+        return now - max(partition.claimed_at, machine.first_seen, resumed_at) > max(
+            workers.lease_s * 1.5, previous_owner_s + FIND_S
         )
     if machine.state is MachineState.LEASE_EXPIRED:
         # Its tasks are free already. A zone that was cut off comes back, and its machines with it.
-        return now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > LOST_LEASES * workers.lease_s
-    patience = (
-        max(tuning.silent_return_s, 2.5 * workers.heartbeat_interval_s) if machine.attempts else workers.lease_s * 2
+        return now - max(machine.last_heartbeat_at or machine.first_seen, resumed_at) > LOST_LEASES * workers.lease_s
+    timeout_s = (
+        max(tuning.silent_release_s, 2.5 * workers.heartbeat_interval_s) if machine.attempts else workers.lease_s * 2
     )
     if machine.responses_lost:
-        return now - max(machine.token_offered_at or now, woke_at) > patience
-    return now - max(machine.last_heartbeat_at or machine.first_seen, woke_at) > patience
+        return now - max(machine.token_offered_at or now, resumed_at) > timeout_s
+    return now - max(machine.last_heartbeat_at or machine.first_seen, resumed_at) > timeout_s
 
 
 def overdue_machines(
-    partition: Partition, workers: Workers, now: float, cut: bool, woke_at: float = 0.0
+    partition: Partition, workers: Workers, now: float, cut: bool, resumed_at: float = 0.0
 ) -> list[Machine]:
     """Machines that may still hold a cancelled task, though its stop was asked for long ago.
 
@@ -125,8 +129,11 @@
         if machine is None or since is None:
             del partition.machines_with_cancelled_tasks[name]
             continue
-        share = OVERDUE_UNHEARD if cut or machine.state is MachineState.UNCONFIRMED else OVERDUE
-        if now - since > share * workers.cancel_s and now - woke_at > OVERDUE_HEARTBEATS * workers.heartbeat_interval_s:
+        share = OVERDUE_UNCONFIRMED if cut or machine.state is MachineState.UNCONFIRMED else OVERDUE
+        if (
+            now - since > share * workers.cancel_s
+            and now - resumed_at > OVERDUE_HEARTBEATS * workers.heartbeat_interval_s
+        ):
             out.append(machine)
     return [m for m in out if not m.releasing]
 
@@ -142,7 +149,7 @@
     out: dict[str, str] = {}
     for job_id in list(state.allocations):
         ago = cancelled_ago(job_id)
-        if ago is not None and ago > OVERDUE_UNHEARD * workers.cancel_s:
+        if ago is not None and ago > OVERDUE_UNCONFIRMED * workers.cancel_s:
             for allocation, record in state.allocations[job_id].items():
                 if allocation.zone in zones:
                     out.update((e.machine, allocation.zone) for e in record.tasks if e.state == records.ASSIGNED)
@@ -173,7 +180,7 @@
         if (
             partition.unassigned
             or machine.idle_since is None
-            or now - machine.idle_since < tuning.idle_return_s
+            or now - machine.idle_since < tuning.idle_release_s
             or not capacity.schedulable
         ):
             continue
--- a/spurarch/coordination/releasing.py
+++ b/spurarch/coordination/releasing.py
@@ -33,14 +33,14 @@
 
 RETURNS_S = 1.0
 RETURN_AT_ONCE = 100
-STRANGERS = 2  # that many, since a single one may be a late copy of a report
+UNREGISTERED_MACHINES_LEAST = 2  # that many, since a single one may be a late copy of a report
 BACK_S = 2.0
 EMPTY_S = 60.0
 BLIND_S = 6.0  # most of a part is silent, and no peer says what it hears: give the part away on suspicion
 CUT_S = 6.0  # without a read of the state service: this is no passing slowness
 
 
-class MachineReleaser:
+class ScaleIn:
     """All returns of this controller, and what it makes of the silence of its machines."""
 
     def __init__(
@@ -58,39 +58,53 @@
         self.replica, self.membership, self.view, self.cloud = replica, membership, view, cloud
         self.reachability, self._permissions, self._stall_detector = can.reachability, can, stall_detector
         self.deployment, self.tuning, self.owned = deployment, tuning, owned
-        self.heard_elsewhere: dict[str, dict[str, int]] = {}  # by peer and zone, workers that look for their owner
+        self.unregistered_by_peer: dict[str, dict[str, int]] = {}  # by peer and zone, workers that look for their owner
         self._next_orphans = 0.0
         self._orphans_under_way = False
         self._returned: dict[str, str] = {}  # machines that this process returned, and their zones
 
     async def watch_silence(self, owned: OwnedPartition, now: float) -> None:
         """Starts the return of machines that are silent, deaf, or were never seen by this owner."""
-        if now < owned.next_look or not self._permissions.fresh(now):
+        if now < owned.next_silence_check or not self._permissions.records_are_fresh(now):
             return
-        owned.next_look = now + RETURNS_S
-        workers, woke_at = self.deployment.workers, self._stall_detector.woke_at
-        owned.cut = cut_off(owned.partition, workers, now, woke_at)
-        self._note_cut(owned, now)
-        found = silent_machines(owned.partition, self.tuning, workers, self.reachability.limit, now, owned.cut, woke_at)
-        await self._start_return(owned, found, now, self._return)
+        owned.next_silence_check = now + RETURNS_S
+        workers, resumed_at = self.deployment.workers, self._stall_detector.resumed_at
+        owned.mostly_silent = cut_off(owned.partition, workers, now, resumed_at)
+        self._update_reachability(owned, now)
+        found = silent_machines(
+            owned.partition,
+            self.tuning,
+            workers,
+            self.reachability.freshness_limit_s,
+            now,
+            owned.mostly_silent,
+            resumed_at,
+        )
+        await self._start_release(owned, found, now, self._release_owned)
 
     async def watch_overdue(self, owned: OwnedPartition, now: float) -> None:
         """Returns machines whose cancelled tasks won't show that they left, whether or not the state service answers."""
         partition = owned.partition
         if (
             not partition.machines_with_cancelled_tasks
-            or now < owned.next_overdue
-            or not self._permissions.steady(now)
+            or now < owned.next_overdue_check
+            or not self._permissions.is_not_stalled(now)
             or self._permissions.superseded(partition.zone)
         ):
             return
-        owned.next_overdue = now + RETURNS_S
-        found = overdue_machines(partition, self.deployment.workers, now, owned.cut, self._stall_detector.woke_at)
-        await self._start_return(owned, found, now, self._return_overdue)
+        owned.next_overdue_check = now + RETURNS_S
+        found = overdue_machines(
+            partition, self.deployment.workers, now, owned.mostly_silent, self._stall_detector.resumed_at
+        )
+        await self._start_release(owned, found, now, self._return_overdue)
 
     async def watch_orphans(self, now: float) -> None:
         """The same for parts that nobody holds, in an outage: whoever lives may return such machines."""
-        if now < self._next_orphans or now - self.replica.synced_at < CUT_S or not self._permissions.steady(now):
+        if (
+            now < self._next_orphans
+            or now - self.replica.synced_at < CUT_S
+            or not self._permissions.is_not_stalled(now)
+        ):
             return
         if not self.reachability.outage(now):
             return  # a controller that is alone would take everybody's machines for orphaned
@@ -98,11 +112,13 @@
         zones = {
             zone
             for zone, partition in self.replica.state.partitions.items()
-            if self.membership.holds(zone) is None
+            if self.membership.owned_record(zone) is None
             and not self._permissions.superseded(zone)
-            and not self.reachability.answers(partition.node, now, partition.process_incarnation)
+            and not self.reachability.peer_responds(partition.node, now, partition.process_incarnation)
         }
-        found = orphaned_machines(self.replica.state, zones, self._permissions.cancelled_ago, self.deployment.workers)
+        found = orphaned_machines(
+            self.replica.state, zones, self._permissions.time_since_cancellation, self.deployment.workers
+        )
         left = {name: zone for name, zone in found.items() if name not in self._returned}
         if left and not self._orphans_under_way:
             self._orphans_under_way = True
@@ -112,13 +128,13 @@
         log.info("returning %s: cancelled tasks may be on them, and nobody holds their part", " ".join(zones))
         try:
             await self.cloud.release(list(zones), lambda: time.monotonic() - self.replica.synced_at > CUT_S)
-            self._remember_returned(zones)
+            self._remember_released(zones)
         except (CloudError, NoCapacityError) as err:
             log.info("return of %d machines: %s", len(zones), err)
         finally:
             self._orphans_under_way = False
 
-    def _remember_returned(self, zones: dict[str, str]) -> None:
+    def _remember_released(self, zones: dict[str, str]) -> None:
         self._returned.update(zones)
         while len(self._returned) > RELEASED_MACHINES_KEPT:
             del self._returned[next(iter(self._returned))]
@@ -131,16 +147,16 @@
             now = time.monotonic()
             return (
                 self._permissions.owns(partition)
-                and self._permissions.steady(now)
+                and self._permissions.is_not_stalled(now)
                 and any(partition.overdue_since(m) is not None for m in machines)
             )
 
         try:
             await self._release(owned, machines, still)
         finally:
-            self._keep_rest(machines)
+            self._reset_unreleased(machines)
 
-    def unrecorded(self) -> list[str]:
+    def released_unrecorded(self) -> list[str]:
         """Machines that this process returned and that are on record all the same.
 
         Their part went to another first, or a transaction that had put them there was carried out late. Their owner
@@ -149,15 +165,15 @@
         on_record = self.replica.state.machines
         return [name for name, zone in self._returned.items() if name in on_record[zone]][:RETURN_AT_ONCE]
 
-    async def return_idle(self, owned: OwnedPartition, now: float) -> None:
+    async def release_idle(self, owned: OwnedPartition, now: float) -> None:
         """Starts the return of machines without work; in line with placing, which might give them some."""
-        if now >= owned.next_returns and self._permissions.fresh(now) and not owned.cut:
-            owned.next_returns = now + RETURNS_S
-            await self._start_return(
-                owned, idle_machines(owned.partition, self.view, self.tuning, now), now, self._return
+        if now >= owned.next_idle_check and self._permissions.records_are_fresh(now) and not owned.mostly_silent:
+            owned.next_idle_check = now + RETURNS_S
+            await self._start_release(
+                owned, idle_machines(owned.partition, self.view, self.tuning, now), now, self._release_owned
             )
 
-    async def _start_return(
+    async def _start_release(
         self,
         owned: OwnedPartition,
         found: list[Machine],
@@ -170,18 +186,18 @@
                 machine.releasing = True
             await curio.spawn(how, owned, machines, daemon=True)
 
-    def hear(self, node: str, strangers: dict[str, int], returned: list[str]) -> None:
+    def on_peer_load(self, node: str, strangers: dict[str, int], returned: list[str]) -> None:
         """A peer says which workers look for their owner there, and which machines it returned without a record."""
-        self.heard_elsewhere[node] = strangers
+        self.unregistered_by_peer[node] = strangers
         for owned in self.owned.values():
             for name in returned:
                 if name in owned.partition.machines:
                     owned.partition.on_released(name)
         for zone in strangers:
             if zone in self.owned:
-                self.owned[zone].next_look = 0.0  # what is left of those workers' leases is short
+                self.owned[zone].next_silence_check = 0.0  # what is left of those workers' leases is short
 
-    def _note_cut(self, owned: OwnedPartition, now: float) -> None:
+    def _update_reachability(self, owned: OwnedPartition, now: float) -> None:
         """Most machines of a part fell silent: whose fault is it?
 
         If others hear those workers, this controller is cut off from them, and another should take the part. If nobody
@@ -189,32 +205,32 @@
         their leases have run out (a new owner would have to wait for longer, or return them all).
         """
         partition, zone = owned.partition, owned.partition.zone
-        if not owned.cut:
-            owned.cut_since = None
-        elif owned.cut_since is None:
-            owned.cut_since = now
+        if not owned.mostly_silent:
+            owned.mostly_silent_since = None
+        elif owned.mostly_silent_since is None:
+            owned.mostly_silent_since = now
         # Once the zone is back, some of its workers come here, though others go to other controllers first.
         known = [m for m in partition.machines.values() if m.state is MachineState.ACTIVE]
         if partition.machines:
-            owned.peopled_at = now
-        if any(now - (m.last_heartbeat_at or 0.0) < BACK_S for m in known) or now - owned.peopled_at > EMPTY_S:
+            owned.last_populated_at = now
+        if any(now - (m.last_heartbeat_at or 0.0) < BACK_S for m in known) or now - owned.last_populated_at > EMPTY_S:
             # A dark zone whose machines have all been returned stays dark for a while: what is rented there would not be
             # heard either, and what is admitted for it would come back, again and again.
             partition.unreachable = False
-        elif owned.cut_since is not None:
-            elsewhere = sum(heard.get(zone, 0) for heard in self.heard_elsewhere.values())
-            blind = not self.heard_elsewhere and now - owned.cut_since > BLIND_S
-            if elsewhere >= max(1, min(STRANGERS, len(partition.machines) // 4)) or (
+        elif owned.mostly_silent_since is not None:
+            elsewhere = sum(heard.get(zone, 0) for heard in self.unregistered_by_peer.values())
+            blind = not self.unregistered_by_peer and now - owned.mostly_silent_since > BLIND_S
+            if elsewhere >= max(1, min(UNREGISTERED_MACHINES_LEAST, len(partition.machines) // 4)) or (
                 blind and not partition.unreachable
             ):
-                self.membership.note_unheard(zone, now)
+                self.membership.mark_isolated(zone, now)
                 log.warning("most machines of %s are silent: another controller should take the part", zone)
-            elif not partition.unreachable and self.heard_elsewhere:
+            elif not partition.unreachable and self.unregistered_by_peer:
                 partition.unreachable = True
                 log.warning("nobody hears the machines of %s", zone)
-        self.membership.note_dark(zone, partition.unreachable)
+        self.membership.set_unreachable(zone, partition.unreachable)
 
-    async def _return(self, owned: OwnedPartition, machines: list[Machine]) -> None:
+    async def _release_owned(self, owned: OwnedPartition, machines: list[Machine]) -> None:
         """Returns machines in one call: calls are few, and a wave of silent machines has many."""
         partition, asked = owned.partition, machines
         try:
@@ -223,7 +239,7 @@
             if not await self.replica.sync() or not self._permissions.owns(partition):
                 return
             idle = [m for m in machines if m.state is MachineState.ACTIVE and not m.attempts]
-            if not await self._close(partition, idle):
+            if not await self._cordon(partition, idle):
                 return
             if not self._permissions.owns(partition):
                 return
@@ -236,10 +252,12 @@
                 log.info("returning %s (%s, %d tasks)", machine.name, state, len(machine.attempts))
             # The line in front of the cloud may be long, and this process may stand still in it.
             await self._release(
-                owned, machines, lambda: self._permissions.owns(partition) and self._permissions.fresh(time.monotonic())
+                owned,
+                machines,
+                lambda: self._permissions.owns(partition) and self._permissions.records_are_fresh(time.monotonic()),
             )
         finally:
-            self._keep_rest(asked)
+            self._reset_unreleased(asked)
 
     async def _release(self, owned: OwnedPartition, machines: list[Machine], still: Callable[[], bool]) -> None:
         """Has the cloud take machines back; its answer proves that everything on them is gone."""
@@ -250,11 +268,11 @@
             return
         for machine in machines:
             owned.partition.on_released(machine.name)
-        self._remember_returned({machine.name: machine.zone for machine in machines})
+        self._remember_released({machine.name: machine.zone for machine in machines})
         await owned.wakeup.set()
 
     @staticmethod
-    def _keep_rest(machines: list[Machine]) -> None:
+    def _reset_unreleased(machines: list[Machine]) -> None:
         """Whichever were not returned after all can be used, or returned, again.
 
         Also those that were left out because a task was recorded onto them meanwhile, which stayed closed for ever
@@ -265,7 +283,7 @@
                 machine.release_after = time.monotonic() + RETURNS_S
                 machine.releasing = False
 
-    async def _close(self, partition: Partition, machines: list[Machine]) -> bool:
+    async def _cordon(self, partition: Partition, machines: list[Machine]) -> bool:
         """Closes machines on record first: no task may be assigned to them while the cloud takes them down."""
         writes = []
         for machine in machines:
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/renting.py
@@ -10,7 +10,13 @@
 from spurarch.coordination.admission import CapacityShortage
 from spurarch.coordination.best_fit import MachineCapacity
 from spurarch.coordination.membership import Membership
-from spurarch.coordination.provisioning import Kind, Order, Turnover, plan_rentals, room_of
+from spurarch.coordination.provisioning import (
+    FreedCapacityEstimate,
+    MachineKind,
+    ScaleOutOrder,
+    empty_capacity,
+    plan_scale_out,
+)
 from spurarch.coordination.stall_detector import StallDetector
 from spurarch.coordination.view import FleetView
 from spurarch.protocol import wire
@@ -25,17 +31,17 @@
 NEVER_UP_FACTOR = 4.0
 NEVER_UP_LEAST_S = 90.0
 FRESH_S = 3.0
-SLOW_BOOT_S = 60.0  # a machine that takes longer may never come up
+SLOW_START_S = 60.0  # a machine that takes longer may never come up
 
 
-class Booting:
+class BootingMachine:
     """A machine that was rented and has not reported yet."""
 
-    def __init__(self, kind: Kind, since: float) -> None:
+    def __init__(self, kind: MachineKind, since: float) -> None:
         self.kind, self.since = kind, since
 
 
-class Renting:
+class ScaleOut:
     """Keeps types and prices known; rents while this process leads."""
 
     def __init__(
@@ -47,14 +53,19 @@
         stall_detector: StallDetector,
         deployment: Deployment,
         tuning: Tuning,
-        boot: str,
+        process_incarnation: str,
     ) -> None:
         self._replica, self._membership, self._view, self._cloud = replica, membership, view, cloud
-        self._deployment, self._tuning, self._boot, self._stall_detector = deployment, tuning, boot, stall_detector
+        self._deployment, self._tuning, self._process_incarnation, self._stall_detector = (
+            deployment,
+            tuning,
+            process_incarnation,
+            stall_detector,
+        )
         self.shortages: list[CapacityShortage] = []
-        self.booting: dict[str, Booting] = {}
-        self._closed: dict[Kind, float] = {}
-        self._hires = 0
+        self.booting: dict[str, BootingMachine] = {}
+        self._exhausted_until: dict[MachineKind, float] = {}
+        self._requests_made = 0
         self._term: int | None = None  # under which this process rents
         self._listed = False
 
@@ -66,22 +77,24 @@
         """This process leads no more, or can't be sure."""
         self._term, self._listed = None, False
 
-    def coming(self, now: float) -> list[MachineCapacity]:
+    def booting_capacity(self, now: float) -> list[MachineCapacity]:
         """Room on machines that boot."""
-        self._settle_booting()
+        self._forget_started()
         return [
-            room_of(self._view, self._view.machine_types[b.kind.type], b.kind)
+            empty_capacity(self._view, self._view.machine_types[b.kind.type], b.kind)
             for b in self.booting.values()
-            if b.kind.type in self._view.machine_types and now - b.since < SLOW_BOOT_S
+            if b.kind.type in self._view.machine_types and now - b.since < SLOW_START_S
         ]
 
-    def _still(self) -> bool:
+    def _may_act(self) -> bool:
         """This process leads as far as a recent copy shows.
 
         One that stood still would rent a second time, or return machines that the next leader uses by now.
         """
         now = time.monotonic()
-        fresh = now - self._replica.synced_at < FRESH_S and self._stall_detector.steady(now, self._replica.synced_at)
+        fresh = now - self._replica.synced_at < FRESH_S and self._stall_detector.confirmed_since_stall(
+            now, self._replica.synced_at
+        )
         leading = self._term is not None and self._membership.confirmed_term == self._term
         return leading and fresh and self._replica.store.trusted
 
@@ -95,26 +108,26 @@
                     self._view.set_machine_types(await self._cloud.types())
                     types_at = now
                     await self._replica.notify()
-                if self._still():
+                if self._may_act():
                     if now - list_at > LIST_EVERY_S or not self._listed:
-                        await self._list()
+                        await self._check_machine_list()
                         list_at = now
-                    await self._rent()
+                    await self._request_missing()
             except (CloudError, NoCapacityError) as err:
                 log.info("cloud: %s", err or "no capacity")
             except curio.CancelledError:
                 raise
             except Exception:  # a failure here must not end the controller
                 log.exception("cloud round failed")
-            await curio.sleep(self._tuning.rent_pause_s if self._view.machine_types else 0.3)
+            await curio.sleep(self._tuning.scale_out_interval_s if self._view.machine_types else 0.3)
 
-    def _settle_booting(self) -> None:
+    def _forget_started(self) -> None:
         machines = self._replica.state.machines
         up = [name for name, booting in self.booting.items() if name in machines[booting.kind.zone]]
         for name in up:
             del self.booting[name]
 
-    async def _list(self) -> None:
+    async def _check_machine_list(self) -> None:
         """Finds machines that boot, and returns those that never come up or have failed unseen."""
         machines = await self._cloud.machines()
         now = time.monotonic()
@@ -125,50 +138,52 @@
             if machine.id in known:
                 continue
             offer = self._view.machine_types.get(machine.type)
-            patience = max(NEVER_UP_LEAST_S, NEVER_UP_FACTOR * (offer.boot_s if offer else 60.0))
-            if machine.state == wire.FAILED or machine.age_s > patience:
+            timeout_s = max(NEVER_UP_LEAST_S, NEVER_UP_FACTOR * (offer.boot_s if offer else 60.0))
+            if machine.state == wire.FAILED or machine.age_s > timeout_s:
                 useless.append(machine.id)
                 self.booting.pop(machine.id, None)
             elif machine.state == wire.BOOTING and machine.id not in self.booting:
-                kind = Kind(machine.type, machine.zone, machine.spot)
-                self.booting[machine.id] = Booting(kind, now - machine.age_s)
-        self._settle_booting()
+                kind = MachineKind(machine.type, machine.zone, machine.spot)
+                self.booting[machine.id] = BootingMachine(kind, now - machine.age_s)
+        self._forget_started()
         for name, booting in list(self.booting.items()):
             if now - booting.since > NEVER_UP_LEAST_S * 2:
                 del self.booting[name]
         if useless:
             log.info("returning machines that never came up: %s", " ".join(useless[:100]))
-            await self._cloud.release(useless[:100], self._still)
+            await self._cloud.release(useless[:100], self._may_act)
 
-    async def _rent(self) -> None:
-        self._settle_booting()
+    async def _request_missing(self) -> None:
+        self._forget_started()
         now = time.monotonic()
-        self._closed = {kind: until for kind, until in self._closed.items() if until > now}
+        self._exhausted_until = {kind: until for kind, until in self._exhausted_until.items() if until > now}
         dark = self._view.unreachable_zones()
-        orders = plan_rentals(
+        orders = plan_scale_out(
             self._view,
             self.shortages,
             [b.kind for b in self.booting.values() if b.kind.zone not in dark],
-            set(self._closed),
+            set(self._exhausted_until),
             [zone for zone in self._deployment.zones if zone not in dark],
-            Turnover(self._view, self._tuning.turnover_share),
+            FreedCapacityEstimate(self._view, self._tuning.turnover_share),
             time.time(),
         )
         for order in orders:
-            await self._hire(order)
+            await self._request_machines(order)
 
-    async def _hire(self, order: Order) -> None:
-        self._hires += 1
+    async def _request_machines(self, order: ScaleOutOrder) -> None:
+        self._requests_made += 1
         kind = order.kind
         # The process's own nonce keeps a name from ever being used again, by whichever controller.
-        request = wire.ScaleOutRequest(f"{self._boot}-{self._hires}", kind.type, kind.zone, kind.spot, order.count)
+        request = wire.ScaleOutRequest(
+            f"{self._process_incarnation}-{self._requests_made}", kind.type, kind.zone, kind.spot, order.count
+        )
         for _ in range(3):
             try:
-                names = await self._cloud.scale_out(request, self._still)
+                names = await self._cloud.scale_out(request, self._may_act)
                 break
             except NoCapacityError:
                 log.info("no capacity: %s", kind)
-                self._closed[kind] = time.monotonic() + self._tuning.capacity_backoff_s
+                self._exhausted_until[kind] = time.monotonic() + self._tuning.capacity_backoff_s
                 return
             except CloudError as err:
                 log.info("rental %s: %s", request.request_id, err)
@@ -179,6 +194,6 @@
         now = time.monotonic()
         log.info("rented %d of %d %s", len(names), order.count, kind)
         for name in names:
-            self.booting[name] = Booting(kind, now)
+            self.booting[name] = BootingMachine(kind, now)
         if len(names) < order.count:
-            self._closed[kind] = now + self._tuning.capacity_backoff_s
+            self._exhausted_until[kind] = now + self._tuning.capacity_backoff_s
--- a/spurarch/coordination/stall_detector.py
+++ b/spurarch/coordination/stall_detector.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-BEAT_S = 0.25
-GAP_S = 2.0  # less than a member's lease lasts after its latest renewal, so that nobody took over in a shorter one
+CHECK_INTERVAL_S = 0.25
+STALL_S = 2.0  # less than a member's lease lasts after its latest renewal, so that nobody took over in a shorter one
 
 
 class StallDetector:
@@ -16,15 +16,15 @@
 
     def __init__(self) -> None:
         self._last: float | None = None
-        self.woke_at = float("-inf")
+        self.resumed_at = float("-inf")
 
-    def beat(self, now: float) -> float:
+    def check(self, now: float) -> float:
         """Notes that this process runs; returns when it last woke."""
-        if self._last is not None and now - self._last > GAP_S:
-            self.woke_at = now
+        if self._last is not None and now - self._last > STALL_S:
+            self.resumed_at = now
         self._last = now
-        return self.woke_at
+        return self.resumed_at
 
-    def steady(self, now: float, word: float) -> bool:
+    def confirmed_since_stall(self, now: float, confirmed_at: float) -> bool:
         """The newest word was asked for after the latest gap."""
-        return word >= self.beat(now)
+        return confirmed_at >= self.check(now)
--- a/spurarch/coordination/store_reachability.py
+++ b/spurarch/coordination/store_reachability.py
@@ -29,56 +29,56 @@
 
     def __init__(self, peers: list[str], cancel_s: float, lease_s: float) -> None:
         self._margin = 1.0 + 0.05 * cancel_s
-        self.limit = (cancel_s - lease_s) / DRIFT - self._margin
-        self._vouched: dict[str, float] = {peer: float("-inf") for peer in peers}
-        self._copied = float("-inf")  # a peer's copy that we were told of was complete up to then
-        self._answered: dict[str, tuple[str, float]] = {}  # by peer, the process that answered last, and when
-        self.cancelled: dict[str, float] = {}  # jobs, and when we were told
-        self.parts: dict[str, tuple[str, int]] = {}
-        self.peer_reaches_at = float("-inf")
+        self.freshness_limit_s = (cancel_s - lease_s) / DRIFT - self._margin
+        self._attested_at: dict[str, float] = {peer: float("-inf") for peer in peers}
+        self._peer_copy_complete_at = float("-inf")  # a peer's copy that we were told of was complete up to then
+        self._last_responses: dict[str, tuple[str, float]] = {}  # by peer, the process that answered last, and when
+        self.cancelled_by_peers: dict[str, float] = {}  # jobs, and when we were told
+        self.partitions_by_peers: dict[str, tuple[str, int]] = {}
+        self.peer_reached_store_at = float("-inf")
 
-    def pong(self, peer: str, sent: float, received: float, answer: peer_messages.Pong, synced_at: float) -> None:
+    def on_pong(self, peer: str, sent: float, received: float, answer: peer_messages.Pong, synced_at: float) -> None:
         """A peer answered a ping sent at `sent`."""
-        self.note_cancelled(answer.cancelled, received)
-        for zone, node, epoch in answer.parts:
-            if epoch > self.parts.get(zone, ("", 0))[1]:
-                self.parts[zone] = node, epoch
-        self._answered[peer] = answer.boot, received
-        before = self.word(synced_at)
-        if answer.reaches:
-            self.peer_reaches_at = max(self.peer_reaches_at, sent)
-            self._copied = max(self._copied, sent)
-        elif answer.age_s >= 0:
-            self._copied = max(self._copied, sent - answer.age_s * DRIFT)
-        elif received - answer.up_s / DRIFT > before:
+        self.record_cancelled(answer.cancelled_jobs, received)
+        for zone, node, epoch in answer.partitions:
+            if epoch > self.partitions_by_peers.get(zone, ("", 0))[1]:
+                self.partitions_by_peers[zone] = node, epoch
+        self._last_responses[peer] = answer.process_incarnation, received
+        before = self.freshness_bound(synced_at)
+        if answer.store_reachable:
+            self.peer_reached_store_at = max(self.peer_reached_store_at, sent)
+            self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent)
+        elif answer.copy_age_s >= 0:
+            self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent - answer.copy_age_s * DRIFT)
+        elif received - answer.uptime_s / DRIFT > before:
             return  # its predecessor may have confirmed what nobody else knows
-        if peer in self._vouched:
-            self._vouched[peer] = max(self._vouched[peer], sent)
+        if peer in self._attested_at:
+            self._attested_at[peer] = max(self._attested_at[peer], sent)
 
-    def note_cancelled(self, jobs: list[str], now: float) -> None:
+    def record_cancelled(self, jobs: list[str], now: float) -> None:
         """Jobs that are cancelled on record, as a peer says."""
         for job_id in jobs:
-            self.cancelled.setdefault(job_id, now)
+            self.cancelled_by_peers.setdefault(job_id, now)
 
-    def settle(self, synced_at: float) -> None:
+    def discard_confirmed(self, synced_at: float) -> None:
         """What we were told of before a read of our own is in our copy."""
-        if self.cancelled:
-            self.cancelled = {job_id: at for job_id, at in self.cancelled.items() if at >= synced_at}
+        if self.cancelled_by_peers:
+            self.cancelled_by_peers = {job_id: at for job_id, at in self.cancelled_by_peers.items() if at >= synced_at}
 
-    def answers(self, peer: str, now: float, boot: str | None = None) -> bool:
+    def peer_responds(self, peer: str, now: float, process_incarnation: str | None = None) -> bool:
         """The peer lives and hears us, and it is that process of it that does."""
-        process, at = self._answered.get(peer, ("", float("-inf")))
-        return now - at < ALIVE_S and boot in (None, process)
+        process, at = self._last_responses.get(peer, ("", float("-inf")))
+        return now - at < ALIVE_S and process_incarnation in (None, process)
 
     def outage(self, now: float) -> bool:
         """A peer is heard and none reaches the state service either: this is no isolation of our own."""
-        heard = any(now - at < ALIVE_S for _, at in self._answered.values())
-        return heard and now - self.peer_reaches_at > ALIVE_S
+        heard = any(now - at < ALIVE_S for _, at in self._last_responses.values())
+        return heard and now - self.peer_reached_store_at > ALIVE_S
 
-    def word(self, synced_at: float) -> float:
+    def freshness_bound(self, synced_at: float) -> float:
         """Time of the newest word."""
-        return max(synced_at, self._copied, min(self._vouched.values(), default=float("-inf")))
+        return max(synced_at, self._peer_copy_complete_at, min(self._attested_at.values(), default=float("-inf")))
 
-    def entitled(self, synced_at: float, now: float) -> bool:
+    def may_answer(self, synced_at: float, now: float) -> bool:
         """May answer reports."""
-        return now - self.word(synced_at) < self.limit
+        return now - self.freshness_bound(synced_at) < self.freshness_limit_s
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/users.py
@@ -26,7 +26,7 @@
 RETRY_S = 1
 UPGRADE_RETRY_S = 5
 ARCHIVED_KEPT = 20_000
-DOUBT_RETRY_S = 30  # an operator has to settle what is in doubt
+UNRESOLVED_RETRY_S = 30  # an operator has to settle what is in doubt
 GIVE_UP_S = 2.5
 SYNC_S = 1.2
 MOST_WAIT_S = 2.0
@@ -45,7 +45,7 @@
     return Response(status, wire.encode(wire.JobState(job_id, state, done, running)))
 
 
-class Users:
+class JobApi:
     """Submissions, polls and cancels."""
 
     def __init__(
@@ -54,10 +54,15 @@
         view: FleetView,
         deployment: Deployment,
         nodes: list[str],
-        wake: Callable[[], Awaitable[None]],
-        tell_cancelled: Callable[[str], Awaitable[None]],
+        notify_peers: Callable[[], Awaitable[None]],
+        notify_cancelled: Callable[[str], Awaitable[None]],
     ) -> None:
-        self.replica, self.view, self._wake, self._tell_cancelled = replica, view, wake, tell_cancelled
+        self.replica, self.view, self._notify_peers, self._notify_cancelled = (
+            replica,
+            view,
+            notify_peers,
+            notify_cancelled,
+        )
         self._teams = {team.name: team for team in deployment.teams}
         self._zones = set(deployment.zones)
         self._nodes = nodes
@@ -94,15 +99,15 @@
         history = self.replica.store.history
         if spec.id in state.jobs or spec.id in state.finals or (history is not None and history.record.packed):
             # Final standings of earlier histories are no keys of their own that the transaction could be made to guard.
-            known = await self._known(spec.id)
+            known = await self._known_state(spec.id)
             if known is not None:
                 return known
         if spec.id in state.jobs or spec.id in state.finals:
-            return await self._known(spec.id) or error(503, "the state service can't be reached")
-        refusal = self._impossible(spec)
+            return await self._known_state(spec.id) or error(503, "the state service can't be reached")
+        refusal = self._validate_feasible(spec)
         if refusal is not None:
             # A job that was accepted once is never refused, whatever has changed since.
-            return await self._known(spec.id) or refusal
+            return await self._known_state(spec.id) or refusal
         guards: list[str] = []
         if spec.kind == wire.GANG:
             if not gangs_supported(state.members):
@@ -117,13 +122,13 @@
             urgency=Urgency.USERS,
         )
         if result.status is TransactionStatus.COMMITTED:
-            await self._wake()
+            await self._notify_peers()
             return await self._once_archived(result.revision, _state(201, spec.id, wire.QUEUED))
         if result.status is TransactionStatus.CONFLICT:
-            return await self._known(spec.id) or error(503, "not settled yet")
+            return await self._known_state(spec.id) or error(503, "not settled yet")
         return error(503, "the state service can't be reached")
 
-    def _impossible(self, spec: wire.Submission) -> Response | None:
+    def _validate_feasible(self, spec: wire.Submission) -> Response | None:
         """Why the job can never run, or 503 while nobody can tell."""
         team = self._teams.get(spec.team)
         if team is None:
@@ -148,12 +153,12 @@
                 return None
         return error(422, "a task fits no allowed machine type")
 
-    async def poll(self, job_id: str) -> Response:
+    async def get(self, job_id: str) -> Response:
         """GET of a job."""
         if not wire.JOB_ID_PATTERN.fullmatch(job_id):
             return error(404, "no such job")
         try:
-            return await self._known(job_id) or self._unknown()
+            return await self._known_state(job_id) or self._not_found()
         except StoreUnavailableError:
             return error(503, "the state service can't be reached")
 
@@ -163,9 +168,9 @@
             return error(404, "no such job")
         try:
             for _ in range(4):
-                known = await self._known(job_id)
+                known = await self._known_state(job_id)
                 if known is None:
-                    return self._unknown()
+                    return self._not_found()
                 record = self.replica.state.jobs.get(job_id)
                 if record is None or record.cancelled:
                     return known
@@ -175,7 +180,7 @@
                     urgency=Urgency.USERS,
                 )
                 if result.status is TransactionStatus.COMMITTED:
-                    await self._tell_cancelled(job_id)
+                    await self._notify_cancelled(job_id)
                     return await self._once_archived(result.revision, _state(200, job_id, wire.CANCELLED))
                 if result.status is not TransactionStatus.CONFLICT:
                     break
@@ -183,14 +188,14 @@
         except StoreUnavailableError:
             return error(503, "the state service can't be reached")
 
-    def _unknown(self) -> Response:
+    def _not_found(self) -> Response:
         """There is no record of the job; that it was never accepted can't be told while records may be missing."""
         history = self.replica.store.history
         if history is not None and history.record.uncertain:
-            return error(503, "not known since the records were rebuilt", DOUBT_RETRY_S)
+            return error(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
         return error(404, "no such job")
 
-    async def _known(self, job_id: str) -> Response | None:
+    async def _known_state(self, job_id: str) -> Response | None:
         """The job's state, no older than anything that was told elsewhere before; None if it was never accepted."""
         state = self.replica.state
         final = state.finals.get(job_id)
@@ -204,19 +209,19 @@
         if final is None:
             return None
         if final.state == records.UNRESOLVED:
-            return error(503, "in doubt since the records were rebuilt", DOUBT_RETRY_S)
+            return error(503, "in doubt since the records were rebuilt", UNRESOLVED_RETRY_S)
         done = final.tasks if final.state == wire.DONE else None
         response = _state(200, job_id, final.state, done, 0 if done is not None else None)
         return await self._once_archived(None, response, job_id)
 
-    async def _once_archived(self, revision: int | None, response: Response, over: str | None = None) -> Response:
+    async def _once_archived(self, revision: int | None, response: Response, final_job: str | None = None) -> Response:
         """The answer, once the archive holds what it says (None: all that is on record now); 503 if that takes too long.
 
         What a user was told must not be forgotten, whatever is lost: with `archived_answers`, the archive alone is enough
         for that. A job that is `over` is waited for once.
         """
         history = self.replica.store.history
-        if history is None or not history.record.archived_answers or over in self._archived:
+        if history is None or not history.record.archived_answers or final_job in self._archived:
             return response
         deadline = time.monotonic() + ARCHIVE_WAIT_S
         revision = history.recorded if revision is None else revision
@@ -224,8 +229,8 @@
             if time.monotonic() > deadline:
                 return error(503, "recorded, and not archived yet")
             await curio.sleep(ARCHIVE_LOOK_S)
-        if over is not None:
-            self._archived[over] = None
+        if final_job is not None:
+            self._archived[final_job] = None
             if len(self._archived) > ARCHIVED_KEPT:
                 del self._archived[next(iter(self._archived))]
         return response
--- a/spurarch/coordination/view.py
+++ b/spurarch/coordination/view.py
@@ -13,7 +13,7 @@
 from spurarch.coordination.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.coordination.team_ledger import Charge, QuotaLedger
 from spurarch.protocol import wire
-from spurarch.protocol.names import Names
+from spurarch.protocol.names import StringInterner
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord
@@ -100,8 +100,8 @@
         self, state: ClusterState, teams: Iterable[Team], size_weight: float = 0.0, objectives: Iterable[Objective] = ()
     ) -> None:
         self.state, self.size_weight = state, size_weight
-        self.zones, self.types, self.teams = Names(), Names(), Names()
-        self.images, self.machines = Names(), Names()
+        self.zones, self.types, self.teams = StringInterner(), StringInterner(), StringInterner()
+        self.images, self.machines = StringInterner(), StringInterner()
         self.capacities: dict[int, MachineCapacity] = {}
         self.capacities_by_zone: dict[int, dict[int, MachineCapacity]] = defaultdict(dict)
         self.jobs: dict[str, JobView] = {}
--- a/spurarch/protocol/names.py
+++ b/spurarch/protocol/names.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Names:
+class StringInterner:
     """Gives each name the next free index and keeps it."""
 
     __slots__ = ("_index", "_names")
--- a/spurarch/protocol/peer_messages.py
+++ b/spurarch/protocol/peer_messages.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 
-class Wake(Struct, tag="wake", array_like=True):
+class StateChanged(Struct, tag="wake", array_like=True):
     """Something was written to the state service that the receiver will want to see."""
 
 
@@ -25,15 +25,15 @@
     """
 
     node: str
-    boot: str
-    reaches: bool
-    cancelled: list[str]
-    parts: list[tuple[str, str, int]]
-    age_s: float = -1.0
-    up_s: float = 0.0
+    process_incarnation: str
+    store_reachable: bool
+    cancelled_jobs: list[str]
+    partitions: list[tuple[str, str, int]]
+    copy_age_s: float = -1.0
+    uptime_s: float = 0.0
 
 
-class Cancelled(Struct, tag="cancelled", array_like=True):
+class JobsCancelled(Struct, tag="cancelled", array_like=True):
     """Jobs whose cancellation the sender is about to confirm to their users."""
 
     jobs: list[str]
@@ -49,13 +49,13 @@
 
     node: str
     writes: float
-    hungry: bool
-    strangers: list[tuple[str, int]] = []
-    returned: list[str] = []
-    writes_refused: int = 0
+    backlogged: bool
+    unregistered_machines: list[tuple[str, int]] = []
+    released_machines: list[str] = []
+    throttled_writes: int = 0
 
 
-PeerMessage = Wake | Ping | Pong | Cancelled | Load
+PeerMessage = StateChanged | Ping | Pong | JobsCancelled | Load
 
 encode = msgspec.msgpack.encode
 _decoder = msgspec.msgpack.Decoder(PeerMessage)
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -50,7 +50,7 @@
     """
 
     node: str
-    boot: str
+    process_incarnation: str
     history: str
     closed: bool
     loaded: bool
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -43,8 +43,8 @@
 class RebuildClaim:
     """The claim, as one controller sees it."""
 
-    def __init__(self, store: Store, node: str, boot: str) -> None:
-        self._store, self._node, self._boot = store, node, boot
+    def __init__(self, store: Store, node: str, process_incarnation: str) -> None:
+        self._store, self._node, self._process_incarnation = store, node, process_incarnation
         self.record: ClaimRecord | None = None  # whoever has it
         self._version = 0
         self._unchanged_since = 0.0
@@ -52,7 +52,7 @@
     @property
     def mine(self) -> bool:
         """This process rebuilds."""
-        return self.record is not None and self.record.process_incarnation == self._boot
+        return self.record is not None and self.record.process_incarnation == self._process_incarnation
 
     @property
     def version(self) -> int:
@@ -80,7 +80,7 @@
         free = self.record is None or self.record.step == FINISHED
         if not free and not self.mine and not silent:
             return False
-        record = ClaimRecord(self._node, self._boot, name, 1, 0, "sealing")
+        record = ClaimRecord(self._node, self._process_incarnation, name, 1, 0, "sealing")
         return (await self._write(record, [], [])).status is TransactionStatus.COMMITTED
 
     async def commit(
@@ -88,11 +88,11 @@
     ) -> None:
         """Makes changes as the one that rebuilds; raises if this is somebody else by now."""
         record = self.record
-        if record is None or record.process_incarnation != self._boot:
+        if record is None or record.process_incarnation != self._process_incarnation:
             raise ClaimLostError("the claim is not ours")
         after = ClaimRecord(
             self._node,
-            self._boot,
+            self._process_incarnation,
             record.name,
             record.heartbeat_number + 1,
             record.epoch if epoch is None else epoch,
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -93,8 +93,8 @@
 
 async def _doubts(store: Store, args: argparse.Namespace) -> None:
     status = await operators.read_status(store)
-    for doubt in status.doubts:
-        print(f"{doubt.job}\t{doubt.kind}\t{doubt.detail}")
+    for unresolved in status.doubts:
+        print(f"{unresolved.job}\t{unresolved.kind}\t{unresolved.detail}")
 
 
 async def _purge(store: Store, args: argparse.Namespace) -> None:
--- a/spurarch/recovery/coverage.py
+++ b/spurarch/recovery/coverage.py
@@ -16,8 +16,8 @@
     Without news of the archiver for `patience_s`, ends are forgotten all the same unless `hold` is set.
     """
 
-    def __init__(self, guard: HistoryGuard, patience_s: float, hold: bool) -> None:
-        self._guard, self._patience_s, self._hold = guard, patience_s, hold
+    def __init__(self, guard: HistoryGuard, timeout_s: float, hold: bool) -> None:
+        self._guard, self._timeout_s, self._hold = guard, timeout_s, hold
         self._waiting_since: float | None = None
         self._waiting_at = 0  # the archived revision then
         self._away = False
@@ -36,7 +36,7 @@
         now = time.monotonic()
         if self._waiting_since is None or self._guard.archived > self._waiting_at:
             self._waiting_since, self._waiting_at = now, self._guard.archived
-        self._note_away(now - self._waiting_since > self._patience_s)
+        self._note_away(now - self._waiting_since > self._timeout_s)
         return self._away and not self._hold
 
     def _note_away(self, away: bool) -> None:
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -22,7 +22,7 @@
     def __init__(self, tuning: Tuning, finals: Mapping[str, FinalRecord]) -> None:
         self._finals = finals
         self.guard = HistoryGuard()
-        self.coverage = ArchiveProgress(self.guard, tuning.archive_patience_s, tuning.archive_away == "hold")
+        self.coverage = ArchiveProgress(self.guard, tuning.archive_timeout_s, tuning.archive_away == "hold")
 
     def attach(self, controller: Controller) -> RecoveryService:
         """Makes the service for a controller."""
@@ -37,7 +37,7 @@
             controller.owner.permissions,
             controller.cloud,
             controller.peers,
-            controller.boot,
+            controller.process_incarnation,
         )
 
 
@@ -45,7 +45,7 @@
     platform: Platform,
     tuning: Tuning,
     network: Network | None = None,
-    boot: str | None = None,
+    process_incarnation: str | None = None,
     before: Controller | None = None,
 ) -> Controller:
     """A controller that notices lost data and takes part in rebuilding it. Its `run` ends when it has to begin anew.
@@ -54,4 +54,4 @@
     """
     finals = before.replica.state.finals if before is not None else {}
     certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
-    return Controller(platform, tuning, network, boot, extension=RecoveryExtension(tuning, certain))
+    return Controller(platform, tuning, network, process_incarnation, extension=RecoveryExtension(tuning, certain))
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -44,7 +44,7 @@
 _COPIES = {SourceKind.REPLICA, SourceKind.ARCHIVE}
 
 
-class DoubtKind(enum.Enum):
+class UnresolvedKind(enum.Enum):
     """What can't be known."""
 
     OUTCOME = "outcome"  # the job is over; whether done or cancelled is not on record
@@ -52,7 +52,7 @@
     UNKNOWN_JOB = "unknown job"  # a worker runs a task of a job that no record describes
 
 
-class Doubt(Struct, frozen=True, order=True):
+class UnresolvedOutcome(Struct, frozen=True, order=True):
     """Something that an operator has to settle."""
 
     job: str
@@ -61,14 +61,14 @@
 
 
 @dataclass(slots=True)
-class Picture:
+class RebuiltRecords:
     """The records to begin the next history with."""
 
     jobs: dict[str, JobRecord] = field(default_factory=dict)
     admitted: dict[str, AdmissionRecord] = field(default_factory=dict)
     allocations: dict[AllocationKey, AllocationRecord] = field(default_factory=dict)
     finals: dict[str, FinalRecord] = field(default_factory=dict)
-    doubts: list[Doubt] = field(default_factory=list)
+    unresolved: list[UnresolvedOutcome] = field(default_factory=list)
     set_aside: int = 0  # records and reports that make no sense
     uncertain: bool = False  # jobs may have been accepted or ended of which there is no trace
 
@@ -94,12 +94,12 @@
     reported: _Placement | None = None
 
 
-def merge(evidence: Evidence, tasks_per_record: int) -> Picture:
+def merge(evidence: Evidence, tasks_per_record: int) -> RebuiltRecords:
     """The picture that the evidence gives."""
     merger = Merger(evidence, tasks_per_record)
     for _ in merger.steps():
         pass
-    return merger.picture
+    return merger.rebuilt
 
 
 def alive_records(sources: Iterable[Source]) -> dict[str, Versioned]:
@@ -154,7 +154,7 @@
         self._alive = alive_records(self._copies)
         self._tasks: dict[str, dict[int, _Task]] = defaultdict(lambda: defaultdict(_Task))
         self._reopened: set[str] = set()  # jobs whose allocations are gone from the newest copy
-        self.picture = self._out = Picture()
+        self.rebuilt = self._out = RebuiltRecords()
 
     def steps(self) -> Iterator[None]:
         """Makes the picture; it is whole at the end."""
@@ -175,7 +175,7 @@
             self._write_job(job)
             if number % STEP == STEP - 1:
                 yield
-        out.doubts = sorted(set(out.doubts))
+        out.unresolved = sorted(set(out.unresolved))
 
     def _finals_complete(self) -> bool:
         """Every controller gave its copy, and together with an archive they reach back to the beginning."""
@@ -205,9 +205,9 @@
             if len(certain) == 1:
                 self._out.finals[job] = states[certain[0]]
             elif certain:
-                self._doubt(job, DoubtKind.CONFLICT, " and ".join(certain), states[certain[0]].tasks)
+                self._mark_unresolved(job, UnresolvedKind.CONFLICT, " and ".join(certain), states[certain[0]].tasks)
             else:
-                self._doubt(job, DoubtKind.OUTCOME, "in doubt before", states[records.UNRESOLVED].tasks)
+                self._mark_unresolved(job, UnresolvedKind.OUTCOME, "in doubt before", states[records.UNRESOLVED].tasks)
 
     def _take_jobs(self) -> None:
         cancelled: dict[str, JobRecord] = {}
@@ -232,11 +232,13 @@
                 self._out.jobs[job] = record  # nobody was told that it is over
                 self._reopened.add(job)
             else:
-                self._doubt(job, DoubtKind.OUTCOME, "alive in an older copy, gone in a newer one", record.spec.tasks)
+                self._mark_unresolved(
+                    job, UnresolvedKind.OUTCOME, "alive in an older copy, gone in a newer one", record.spec.tasks
+                )
 
-    def _doubt(self, job: str, kind: DoubtKind, detail: str, tasks: int) -> None:
-        self._out.doubts.append(Doubt(job, kind.value, detail))
-        if kind is not DoubtKind.UNKNOWN_JOB:
+    def _mark_unresolved(self, job: str, kind: UnresolvedKind, detail: str, tasks: int) -> None:
+        self._out.unresolved.append(UnresolvedOutcome(job, kind.value, detail))
+        if kind is not UnresolvedKind.UNKNOWN_JOB:
             self._out.finals[job] = FinalRecord(records.UNRESOLVED, tasks)
 
     # Tasks
@@ -291,7 +293,7 @@
     def _note_unknown(self, job: str, heartbeat: wire.Heartbeat, seen: wire.TaskStatus) -> None:
         """A task of a job that is over leaves by the ordinary way; one of a job that nobody knows is told as well."""
         if job not in self._out.finals and seen.state != wire.EXITED:
-            self._doubt(job, DoubtKind.UNKNOWN_JOB, f"runs on {heartbeat.machine}", 0)
+            self._mark_unresolved(job, UnresolvedKind.UNKNOWN_JOB, f"runs on {heartbeat.machine}", 0)
 
     def _placed(self, task: _Task) -> _Placement | None:
         """Where the task is, or may be."""
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -9,16 +9,16 @@
 
 from spurarch.protocol import wire
 from spurarch.recovery.claim import ClaimRecord
-from spurarch.recovery.merge import Doubt
+from spurarch.recovery.merge import UnresolvedOutcome
 from spurarch.storage import records
 from spurarch.storage.history import (
     ARCHIVED,
     CLAIM,
     CURRENT,
-    DOUBT,
     HISTORY,
     OPEN,
     REBUILD,
+    UNRESOLVED_PREFIX,
     ArchivedRecord,
     HistoryRecord,
     OpenMarker,
@@ -46,7 +46,7 @@
     revision: int = 0
     archived: ArchivedRecord | None = None
     claim: ClaimRecord | None = None
-    doubts: list[Doubt] = field(default_factory=list)
+    doubts: list[UnresolvedOutcome] = field(default_factory=list)
 
 
 async def read_status(store: Store) -> HistoryStatus:
@@ -66,13 +66,13 @@
     return out
 
 
-async def read_doubts(store: Store, history: HistoryRecord) -> list[Doubt]:
+async def read_doubts(store: Store, history: HistoryRecord) -> list[UnresolvedOutcome]:
     """What is in doubt in a history."""
-    out: list[Doubt] = []
+    out: list[UnresolvedOutcome] = []
     after: str | None = None
     while True:
-        page = await store.page(history.prefix + DOUBT, after)
-        out += [msgspec.json.decode(item.value, type=Doubt) for item in page.items]
+        page = await store.page(history.prefix + UNRESOLVED_PREFIX, after)
+        out += [msgspec.json.decode(item.value, type=UnresolvedOutcome) for item in page.items]
         if not page.more or not page.items:
             return out
         after = page.items[-1].key
@@ -105,7 +105,7 @@
 async def settle_job(store: Store, job: str, state: str) -> None:
     """Decides what a job in doubt ended as."""
     history = await _history(store)
-    doubt = await store.get(history.prefix + DOUBT + job)
+    doubt = await store.get(history.prefix + UNRESOLVED_PREFIX + job)
     if doubt is None:
         raise OperatorError(f"{job} is not in doubt")
     key = history.prefix + records.FINAL + job
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -21,16 +21,16 @@
 from spurarch.recovery.claim import FINISHED, HEARTBEAT_S, ClaimLostError, RebuildClaim
 from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.evidence import Evidence, Source, SourceKind
-from spurarch.recovery.merge import Merger, Picture, highest_epoch, machines_on_record
+from spurarch.recovery.merge import Merger, RebuiltRecords, highest_epoch, machines_on_record
 from spurarch.settings import Deployment
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud, CloudError
 from spurarch.storage.history import (
     CURRENT,
-    DOUBT,
     OPEN,
     PACKED,
     REBUILD,
+    UNRESOLVED_PREFIX,
     VERIFY_AFTER_S,
     HistoryRecord,
     OpenMarker,
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Surroundings:
+class RebuildContext:
     """What a rebuilding reaches beyond the claim. `own` gives this controller's copy, if it has one."""
 
     node: str
@@ -105,31 +105,31 @@
 class Rebuilding:
     """One attempt to rebuild the records, under a name of its own."""
 
-    def __init__(self, around: Surroundings, claim: RebuildClaim, name: str, lost: HistoryRecord | None) -> None:
-        self._around, self._claim, self._name = around, claim, name
+    def __init__(self, context: RebuildContext, claim: RebuildClaim, name: str, lost: HistoryRecord | None) -> None:
+        self._context, self._claim, self._name = context, claim, name
         self._lost = lost  # None where not even the name of the lost history is known
         self.step = Step.SEALING
         self._rebuild_version = 0
         self._sealed_at = 0.0
         self._epoch = 0
         self._positions: dict[str, int] = {}
-        self._beat_at = 0.0
+        self._heartbeat_at = 0.0
 
     async def run(self) -> HistoryRecord:
         """Goes through all steps; the history that was opened."""
         lost = await self._seal()
         gathered = await self._gather(lost)
         evidence = await self._collect(lost, gathered)
-        picture = await self._merge(evidence)
+        rebuilt = await self._merge(evidence)
         log.info(
             "rebuilt: %d jobs, %d final standings, %d in doubt, %d set aside, %s",
-            len(picture.jobs),
-            len(picture.finals),
-            len(picture.doubts),
-            picture.set_aside,
-            "uncertain" if picture.uncertain else "certain",
+            len(rebuilt.jobs),
+            len(rebuilt.finals),
+            len(rebuilt.unresolved),
+            rebuilt.set_aside,
+            "uncertain" if rebuilt.uncertain else "certain",
         )
-        return await self._write(lost, picture)
+        return await self._write(lost, rebuilt)
 
     def _advance(self, step: Step) -> None:
         if _NEXT[self.step] is not step:
@@ -142,17 +142,17 @@
     ) -> None:
         own = [wire.Guard(REBUILD + self._name, self._rebuild_version)] if self._rebuild_version else []
         await self._claim.commit([*own, *(guards or [])], changes, (step or self.step).value, self._epoch)
-        self._beat_at = time.monotonic()
+        self._heartbeat_at = time.monotonic()
 
-    async def _beat(self) -> None:
-        if time.monotonic() - self._beat_at > HEARTBEAT_S:
+    async def _heartbeat_if_due(self) -> None:
+        if time.monotonic() - self._heartbeat_at > HEARTBEAT_S:
             await self._commit([])
 
     # Sealing
 
     async def _seal(self) -> HistoryRecord:
         """Ends the lost history: from here on, no transaction of it can succeed."""
-        store = self._around.store
+        store = self._context.store
         item = await store.get(CURRENT)
         current = msgspec.json.decode(item.value, type=HistoryRecord) if item is not None else None
         lost = max((h for h in (current, self._lost) if h is not None), key=lambda h: h.number, default=None)
@@ -170,7 +170,7 @@
         self._choose_epoch(lost)
         await self._commit(changes, guards)
         self._rebuild_version = self._claim.version
-        self._around.collector.begin(self._epoch)
+        self._context.collector.begin(self._epoch)
         self._sealed_at = time.monotonic()
         return lost
 
@@ -180,8 +180,8 @@
         It is chosen at once, by what is known here: workers whose owner has ended have to be answered within what is left
         of their leases, while copies of others are still being waited for.
         """
-        own = self._around.own()
-        seen = max(lost.epoch, self._around.collector.highest_epoch, highest_epoch([own] if own is not None else []))
+        own = self._context.own()
+        seen = max(lost.epoch, self._context.collector.highest_epoch, highest_epoch([own] if own is not None else []))
         self._epoch = seen + EPOCHS_UNSEEN
         if self._epoch > EPOCHS_MOST:
             raise RebuildRefusedError("partition epochs are used up")
@@ -191,21 +191,21 @@
     async def _gather(self, lost: HistoryRecord) -> _Gathered:
         """Copies of the lost history from all who have one."""
         self._advance(Step.GATHERING)
-        around, out = self._around, _Gathered()
-        own = around.own()
+        context, out = self._context, _Gathered()
+        own = context.own()
         if own is not None:
             out.sources.append(own)
         given = await self._ask_peers(lost.name, out)
-        out.complete = own is not None and given == set(around.peers)
+        out.complete = own is not None and given == set(context.peers)
         archive = await self._ask_archive(lost.name, out.complete)
         if archive is not None:
             out.sources.append(archive)
-        elif lost.parent and around.archive is not None:
+        elif lost.parent and context.archive is not None:
             # The history was lost before it was archived; what was over before it began is in its parent's archive.
-            ancestor = await copies.archive_source(around.archive, lost.parent, SourceKind.ANCESTOR)
+            ancestor = await copies.archive_source(context.archive, lost.parent, SourceKind.ANCESTOR)
             if ancestor is not None:
                 out.sources.append(ancestor)
-        remains = await copies.remaining_source(around.store, lost)
+        remains = await copies.remaining_source(context.store, lost)
         if remains.alive or remains.finals:
             out.sources.append(remains)
         if not out.sources:
@@ -215,12 +215,12 @@
 
     async def _ask_peers(self, history: str, out: _Gathered) -> set[str]:
         """Waits for every peer's copy for a while, since nobody else may know what a peer has confirmed."""
-        around, waiting, given = self._around, dict(self._around.peers), set[str]()
+        context, waiting, given = self._context, dict(self._context.peers), set[str]()
         deadline = time.monotonic() + PEERS_WAIT_S
         while waiting and time.monotonic() < deadline:
             for node, peer in list(waiting.items()):
                 try:
-                    copy = await copies.peer_copy(node, peer, around.node, history)
+                    copy = await copies.peer_copy(node, peer, context.node, history)
                 except copies.PeerOutdatedError:
                     raise RebuildRefusedError(f"controller {node} runs a version that knows no recovery") from None
                 if copy.settled:
@@ -228,37 +228,37 @@
                 if copy.source is not None:
                     given.add(node)
                     out.sources.append(copy.source)
-                await self._beat()
+                await self._heartbeat_if_due()
             await curio.sleep(PAUSE_S)
-        out.aware = {around.node, *around.peers} - set(waiting)
+        out.aware = {context.node, *context.peers} - set(waiting)
         return given
 
     async def _ask_archive(self, history: str, complete: bool) -> Source | None:
-        if self._around.archive is None:
+        if self._context.archive is None:
             return None
         deadline = time.monotonic() + (PEERS_WAIT_S if complete else ARCHIVE_WAIT_S)
         while time.monotonic() < deadline:
-            source = await copies.archive_source(self._around.archive, history)
+            source = await copies.archive_source(self._context.archive, history)
             if source is not None:
                 return source
-            await self._beat()
+            await self._heartbeat_if_due()
             await curio.sleep(PAUSE_S)
         log.warning("the archive of history %s can't be had", history)
         return None
 
     async def _refuse_outdated(self, aware: set[str]) -> None:
         """A version that knows no recovery would make itself a member of the empty state service, and lead."""
-        page = await self._around.store.page(records.MEMBER, None)
+        page = await self._context.store.page(records.MEMBER, None)
         for item in page.items:
             member = records.decode(item.key, item.value)
             if isinstance(member, MemberRecord) and member.node not in aware and await self._outdated(member.node):
                 raise RebuildRefusedError(f"controller {member.node} runs a version that knows no recovery")
 
     async def _outdated(self, node: str) -> bool:
-        peer = self._around.peers.get(node)
+        peer = self._context.peers.get(node)
         if peer is None:
             return True
-        request = recovery_messages.encode(recovery_messages.RevisionRequest(self._around.node))
+        request = recovery_messages.encode(recovery_messages.RevisionRequest(self._context.node))
         answer = await peer.call(request, CALL_S)
         return answer is None or recovery_messages.decode(answer) is None
 
@@ -274,17 +274,17 @@
         self._advance(Step.COLLECTING)
         evidence = Evidence(gathered.sources, {}, gathered.complete, lost.uncertain, lost.archived_answers)
         if highest_epoch(gathered.sources) >= self._epoch:
-            around = self._around
-            around.collector.highest_epoch = max(around.collector.highest_epoch, highest_epoch(gathered.sources))
+            context = self._context
+            context.collector.highest_epoch = max(context.collector.highest_epoch, highest_epoch(gathered.sources))
             raise RebuildRefusedError("a copy shows a later epoch: beginning anew above it")
         copied = [s for s in gathered.sources if s.kind is SourceKind.REPLICA]
         needed = machines_on_record(copied if gathered.complete else gathered.sources)
         listed = gathered.complete
-        deployment = self._around.deployment
-        patience_s = deployment.workers.cancel_s * BOUND_DRIFT + BOUND_MARGIN_S
+        deployment = self._context.deployment
+        timeout_s = deployment.workers.cancel_s * BOUND_DRIFT + BOUND_MARGIN_S
         if gathered.complete:
-            patience_s = OPEN_AFTER_LEAST_S + HEARTBEATS_WAITED * deployment.workers.heartbeat_interval_s
-        bound_at = self._sealed_at + patience_s
+            timeout_s = OPEN_AFTER_LEAST_S + HEARTBEATS_WAITED * deployment.workers.heartbeat_interval_s
+        bound_at = self._sealed_at + timeout_s
         list_at = self._sealed_at + 2 * deployment.cloud.list_lag_s
         while time.monotonic() < bound_at:
             await self._collect_heartbeats(evidence)
@@ -293,18 +293,18 @@
                 listed = await self._add_listed(needed)
             if listed and now - self._sealed_at >= OPEN_AFTER_LEAST_S and needed <= set(evidence.heartbeats):
                 break
-            await self._beat()
+            await self._heartbeat_if_due()
             await curio.sleep(PAUSE_S)
         await self._collect_heartbeats(evidence)
         return evidence
 
     async def _collect_heartbeats(self, evidence: Evidence) -> None:
         """Newest reports from all controllers."""
-        collector, own = self._around.collector, self._around.node
+        collector, own = self._context.collector, self._context.node
         while self._take_page(evidence, own, *collector.page(self._epoch, self._positions.get(own, 0))):
             await curio.sleep(0)
         shown = collector.highest_epoch
-        for node, peer in self._around.peers.items():
+        for node, peer in self._context.peers.items():
             shown = max(shown, await self._collect_heartbeats_of(node, peer, evidence))
         if shown > self._epoch:
             raise RebuildRefusedError(f"a worker has shown epoch {shown}: beginning anew above it")
@@ -312,8 +312,8 @@
     async def _collect_heartbeats_of(self, node: str, peer: Calls, evidence: Evidence) -> int:
         """All pages that a peer has by now; the highest epoch that a worker showed there."""
         while True:
-            await self._beat()
-            request = HeartbeatsRequest(self._around.node, self._epoch, self._positions.get(node, 0))
+            await self._heartbeat_if_due()
+            request = HeartbeatsRequest(self._context.node, self._epoch, self._positions.get(node, 0))
             answer = await peer.call(recovery_messages.encode(request), CALL_S)
             page = recovery_messages.decode(answer) if answer is not None else None
             if not isinstance(page, HeartbeatsPage):
@@ -331,38 +331,38 @@
     async def _add_listed(self, needed: set[str]) -> bool:
         """Machines that only a controller that has ended may have known."""
         try:
-            machines = await self._around.cloud.machines()
+            machines = await self._context.cloud.machines()
         except CloudError as err:
             log.info("cloud: %s", err)
             return False
         needed.update(machine.id for machine in machines if machine.state != wire.FAILED)
         return True
 
-    async def _merge(self, evidence: Evidence) -> Picture:
-        merger = Merger(evidence, records.tasks_per_record(self._around.deployment.state.value_bytes))
+    async def _merge(self, evidence: Evidence) -> RebuiltRecords:
+        merger = Merger(evidence, records.tasks_per_record(self._context.deployment.state.value_bytes))
         for _ in merger.steps():
             await curio.sleep(0)
-            await self._beat()
-        return merger.picture
+            await self._heartbeat_if_due()
+        return merger.rebuilt
 
     # Records
 
-    async def _write(self, lost: HistoryRecord, picture: Picture) -> HistoryRecord:
+    async def _write(self, lost: HistoryRecord, rebuilt: RebuiltRecords) -> HistoryRecord:
         """Writes the picture under a new prefix and opens it."""
         self._advance(Step.WRITING)
-        packed = self._pack(picture.finals)
+        packed = self._pack(rebuilt.finals)
         history = HistoryRecord(
             self._name,
             lost.number + 1,
             self._epoch,
             len(packed),
-            picture.uncertain,
+            rebuilt.uncertain,
             lost.name,
             lost.archived_answers,
             lost.installation,
         )
-        contents = dict(self._records_of(picture, packed))
-        if len(contents) > SEEDED_ABOVE_S * self._around.deployment.state.write_rps:
+        contents = dict(self._records_of(rebuilt, packed))
+        if len(contents) > SEEDED_ABOVE_S * self._context.deployment.state.write_rps:
             contents = self._seeded(contents)
             history.seeded = True
         puts = [wire.Put(history.prefix + key, value) for key, value in contents.items()]
@@ -379,28 +379,30 @@
         self._advance(Step.OPENED)
         return history
 
-    def _records_of(self, picture: Picture, packed: list[dict[str, tuple[str, int]]]) -> Iterator[tuple[str, object]]:
-        for job, record in picture.jobs.items():
+    def _records_of(
+        self, rebuilt: RebuiltRecords, packed: list[dict[str, tuple[str, int]]]
+    ) -> Iterator[tuple[str, object]]:
+        for job, record in rebuilt.jobs.items():
             yield records.JOB + job, record
-        for job, admitted in picture.admitted.items():
+        for job, admitted in rebuilt.admitted.items():
             yield records.ADMISSION + job, admitted
-        for where, allocation in picture.allocations.items():
+        for where, allocation in rebuilt.allocations.items():
             yield str(where), allocation
-        for job, final in picture.finals.items():
+        for job, final in rebuilt.finals.items():
             if final.state == UNRESOLVED:
                 yield records.FINAL + job, final
-        for doubt in picture.doubts:
-            yield DOUBT + doubt.job, doubt
+        for unresolved in rebuilt.unresolved:
+            yield UNRESOLVED_PREFIX + unresolved.job, unresolved
         for number, jobs in enumerate(packed):
             yield f"{PACKED}{number}", PackedFinals(jobs)
-        for zone in self._around.deployment.zones:
+        for zone in self._context.deployment.zones:
             yield records.PARTITION + zone, PartitionRecord("", self._epoch)
 
     def _seeded(self, contents: dict[str, object]) -> dict[str, object]:
         """The same with records that are alive many in one value; partitions change hands at once, and keep their own."""
         shared = [key for key in contents if key.startswith(records.LIVE) and not key.startswith(records.PARTITION)]
         seeds = [SeedRecord(key, msgspec.Raw(wire.encode(contents[key]))) for key in shared]
-        state = self._around.deployment.state
+        state = self._context.deployment.state
         seeded = set(shared)
         out = {key: value for key, value in contents.items() if key not in seeded}
         for number, found in enumerate(pack(seeds, state.transaction_changes, state.value_bytes)):
@@ -410,7 +412,7 @@
     def _pack(self, finals: dict[str, FinalRecord]) -> list[dict[str, tuple[str, int]]]:
         """Final standings by the records that hold them, each within the limit on values."""
         certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
-        limit = self._around.deployment.state.value_bytes
+        limit = self._context.deployment.state.value_bytes
         count = -(-2 * PACKED_FINAL_BYTES * len(certain) // limit)
         while count:
             buckets: list[dict[str, tuple[str, int]]] = [{} for _ in range(count)]
@@ -424,7 +426,7 @@
 
     def _batches(self, puts: list[wire.Put]) -> Iterator[list[wire.Put]]:
         """Puts in transactions within the limits; each also changes the claim."""
-        most = self._around.deployment.state.transaction_changes - 1
+        most = self._context.deployment.state.transaction_changes - 1
         batch: list[wire.Put] = []
         size = 0
         for put in puts:
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -34,7 +34,7 @@
 from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.copies import ArchiveHead
 from spurarch.recovery.evidence import Source
-from spurarch.recovery.rebuild import Rebuilding, RebuildRefusedError, Surroundings
+from spurarch.recovery.rebuild import RebuildContext, Rebuilding, RebuildRefusedError
 from spurarch.settings import Platform, Tuning
 from spurarch.storage.cloud import Cloud
 from spurarch.storage.history import CURRENT, OPEN, HistoryGuard, HistoryPhase, HistoryRecord, decode_history
@@ -100,16 +100,24 @@
         permissions: Permissions,
         cloud: Cloud,
         peers: dict[str, Calls],
-        boot: str,
+        process_incarnation: str,
     ) -> None:
-        self._node, self._boot, self._guard, self._replica, self._owner = platform.node, boot, guard, replica, owner
+        self._node, self._process_incarnation, self._guard, self._replica, self._owner = (
+            platform.node,
+            process_incarnation,
+            guard,
+            replica,
+            owner,
+        )
         self._peers, self._installation = peers, tuning.installation
         deployment = platform.deployment
         self._store = Store(network.client(platform.external.state, CONNECTIONS), deployment.state, deployment.count)
         self._archive = network.client(tuning.archive_address, CONNECTIONS) if tuning.archive_address else None
-        self._claim = RebuildClaim(self._store, platform.node, boot)
-        self.collector = HeartbeatCollector(permissions.answers, lambda job: permissions.cancelled_ago(job) is not None)
-        self._around = Surroundings(
+        self._claim = RebuildClaim(self._store, platform.node, process_incarnation)
+        self.collector = HeartbeatCollector(
+            permissions.may_answer, lambda job: permissions.time_since_cancellation(job) is not None
+        )
+        self._context = RebuildContext(
             platform.node, deployment, self._store, cloud, peers, self._archive, self.collector, self._own_source
         )
         self.phase = ServicePhase.WATCHING
@@ -151,7 +159,7 @@
     async def _look_for_history(self) -> None:
         item = await self._store.get(CURRENT)
         if item is None:
-            await self._doubt_emptiness()
+            await self._check_empty_store()
             return
         history = decode_history(item.value)
         if history.installation != self._installation:
@@ -169,7 +177,7 @@
             return
         self._guard.open(history, marker.version, page.revision, time.monotonic())
 
-    async def _doubt_emptiness(self) -> None:
+    async def _check_empty_store(self) -> None:
         """An empty state service is either new or was wiped: an archive or another controller knows which."""
         others = await self._ask_others()
         archived = others.head.history if others.head is not None else None
@@ -259,7 +267,7 @@
     async def _rebuild(self, name: str) -> None:
         self._advance(ServicePhase.REBUILDING)
         try:
-            history = await Rebuilding(self._around, self._claim, name, self._lost).run()
+            history = await Rebuilding(self._context, self._claim, name, self._lost).run()
         except (ClaimLostError, RebuildRefusedError, StoreUnavailableError) as err:
             log.warning("rebuilding %s ended: %s", name, err)
             self._advance(ServicePhase.CLOSED)
@@ -317,7 +325,7 @@
         replica, record = self._replica, self._guard.record
         page = EvidencePage(
             self._node,
-            self._boot,
+            self._process_incarnation,
             record.name,
             self.closed,
             replica.loaded,
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -189,12 +189,12 @@
     service_minimum: Share = 0.5
     budget_ms: Positive = 25.0
     member_ttl_s: Annotated[float, Meta(ge=0.5, le=600)] = 4.0
-    idle_return_s: NotNegative = field(name="idle-return-s", default=40.0)
+    idle_release_s: NotNegative = field(name="idle-return-s", default=40.0)
     headroom: NotNegative = 0.1
-    rent_pause_s: Positive = field(name="rent-pause-s", default=1.0)
+    scale_out_interval_s: Positive = field(name="rent-pause-s", default=1.0)
     turnover_share: Share = 0.5
     capacity_backoff_s: Positive = 20.0
-    silent_return_s: NotNegative = field(name="silent-return-s", default=6.0)
+    silent_release_s: NotNegative = field(name="silent-return-s", default=6.0)
     longest_wait_s: Positive = 120.0
     ahead_s: NotNegative = 4.0
     size_weight: NotNegative = 0.4
@@ -204,7 +204,7 @@
     installation: Annotated[str, Meta(max_length=100, pattern=r"^[^\s]*$")] = ""
     archive_address: str = ""
     archive_away: Annotated[str, Meta(pattern="^(go-on|hold)$")] = "go-on"
-    archive_patience_s: Positive = field(name="archive-patience-s", default=20.0)
+    archive_timeout_s: Positive = field(name="archive-patience-s", default=20.0)
 
 
 def _read(path: str) -> str:
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -27,7 +27,7 @@
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
 OPEN, REBUILD = "history/open/", "history/rebuild/"
 PACKED = "packed/"
-DOUBT = "doubt/"  # records under a history's prefix that only operators read
+UNRESOLVED_PREFIX = "doubt/"  # records under a history's prefix that only operators read
 UNARCHIVED = (MEMBER, LEADER)  # of no use once they are old
 VERIFY_AFTER_S = 2.0  # without a read: the marker is read again before an answer is believed
 
@@ -98,7 +98,7 @@
 
 
 _LATER_PREFIX = re.compile(r"h[0-9]+\.[0-9a-f]+")  # of histories after the first
-_RECORDS = (LIVE, FINAL, PACKED, SEED, DOUBT)
+_RECORDS = (LIVE, FINAL, PACKED, SEED, UNRESOLVED_PREFIX)
 
 _record_decoder = msgspec.json.Decoder(HistoryRecord)
 _archived_decoder = msgspec.json.Decoder(ArchivedRecord)
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -150,10 +150,10 @@
             source.take(record)
         sources.append(source)
     began = time.perf_counter()
-    picture = merge(Evidence(sources, {r.machine: r for r in heartbeats}, True), 100)
+    rebuilt = merge(Evidence(sources, {r.machine: r for r in heartbeats}, True), 100)
     merge_s = time.perf_counter() - began
-    alive = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in picture.jobs.items()]
-    alive += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in picture.allocations.items()]
+    alive = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in rebuilt.jobs.items()]
+    alive += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in rebuilt.allocations.items()]
     changes = len(pack(alive, 24, 16384)) + -(-finals * 120 // 16384)
     point = Point(f"m{machines}-{finals}", 1, machines + finals)
     for record in stored:
@@ -202,7 +202,7 @@
     scenario = Scenario.parse(DAY + jobs + "end 90\n", {})
     played = RecoveryPlay(scenario) if kind != "off" else Play(scenario)
     if kind == "waits for nothing":
-        played.tuning.archive_patience_s = 1e-6
+        played.tuning.archive_timeout_s = 1e-6
     played.run()
     reports = [body for worker in played.world.workers.values() for _, body in worker.sent]
     published = sum(event.get("write") == ARCHIVED for _, event in played.store.events)
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -35,7 +35,7 @@
         record = play.controllers[args[0]].replica.state.jobs.get(args[1])
         return record is not None and record.cancelled
     if kind == "heard":  # a controller was told by another that a job is cancelled
-        return args[1] in play.controllers[args[0]].reachability.cancelled
+        return args[1] in play.controllers[args[0]].reachability.cancelled_by_peers
     if kind == "runs-all":  # all tasks of a gang run
         job = play.world.jobs[args[0]]
         states = [task.state for _, task in play.world.on_machines() if task.name.startswith(args[0] + "/")]
@@ -83,8 +83,8 @@
                     back[key] = version, play.clock.now
                     times[key] = times.get(key, 0) + 1
                 # The transaction that takes it off may itself be one that is carried out late.
-                patience = REVIVED_S + (LATEST_S if play.clock.now < play.store.late_until + LATEST_S else 0.0)
-                if play.clock.now - max(gone_at, back[key][1]) > patience or times.get(key, 0) > REVIVED_TIMES:
+                timeout_s = REVIVED_S + (LATEST_S if play.clock.now < play.store.late_until + LATEST_S else 0.0)
+                if play.clock.now - max(gone_at, back[key][1]) > timeout_s or times.get(key, 0) > REVIVED_TIMES:
                     play.problems.append(f"revived: {name} at {play.clock.now - 1000:.2f}")
                     return
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -142,51 +142,51 @@
 
 def test_word_lasts_until_a_cancellation_could_be_missed() -> None:
     reachability = _reach()
-    assert reachability.entitled(100.0, 110.0)
-    assert not reachability.entitled(100.0, 120.0)
-    reachability.pong("p", 119.0, 119.1, _pong("p"), 100.0)
-    assert not reachability.entitled(100.0, 120.0)  # q may have confirmed a cancellation
-    reachability.pong("q", 118.0, 118.1, _pong("q"), 100.0)
-    assert reachability.word(100.0) == 118.0
-    assert reachability.cancelled == {
+    assert reachability.may_answer(100.0, 110.0)
+    assert not reachability.may_answer(100.0, 120.0)
+    reachability.on_pong("p", 119.0, 119.1, _pong("p"), 100.0)
+    assert not reachability.may_answer(100.0, 120.0)  # q may have confirmed a cancellation
+    reachability.on_pong("q", 118.0, 118.1, _pong("q"), 100.0)
+    assert reachability.freshness_bound(100.0) == 118.0
+    assert reachability.cancelled_by_peers == {
         "job-p": 119.1,
         "job-q": 118.1,
     }  # passed on by who does not reach the service, too
-    assert reachability.parts == {"a": ("p", 9)}
-    reachability.settle(118.5)  # a read of our own holds what was told before it, and no more
-    assert reachability.cancelled == {"job-p": 119.1}
+    assert reachability.partitions_by_peers == {"a": ("p", 9)}
+    reachability.discard_confirmed(118.5)  # a read of our own holds what was told before it, and no more
+    assert reachability.cancelled_by_peers == {"job-p": 119.1}
 
 
 def test_a_peer_that_reaches_the_service_is_word_enough() -> None:
     reachability = _reach()
-    reachability.pong("q", 119.0, 119.1, _pong("q", reaches=True, age_s=0.1), 100.0)
-    assert reachability.word(100.0) == 119.0
+    reachability.on_pong("q", 119.0, 119.1, _pong("q", reaches=True, age_s=0.1), 100.0)
+    assert reachability.freshness_bound(100.0) == 119.0
 
 
 def test_a_copy_is_a_word_of_its_age() -> None:
     reachability = _reach()
-    reachability.pong("q", 119.0, 119.1, _pong("q", age_s=5.0), 100.0)
-    assert 113.9 < reachability.word(100.0) <= 114.0
-    assert reachability.word(116.0) == 116.0
+    reachability.on_pong("q", 119.0, 119.1, _pong("q", age_s=5.0), 100.0)
+    assert 113.9 < reachability.freshness_bound(100.0) <= 114.0
+    assert reachability.freshness_bound(116.0) == 116.0
 
 
 def test_who_started_after_the_word_and_never_read_the_service_is_no_voucher() -> None:
     for up_s, word in ((18.0, 100.0), (19.0, 100.0), (20.0, 119.0)):  # its start lies after, at, or before the word
         reachability = _reach()
-        reachability.pong("p", 119.0, 119.05, _pong("p"), 100.0)
-        reachability.pong("q", 119.0, 119.05, _pong("q", age_s=-1.0, up_s=up_s), 100.0)
-        assert reachability.word(100.0) == word
+        reachability.on_pong("p", 119.0, 119.05, _pong("p"), 100.0)
+        reachability.on_pong("q", 119.0, 119.05, _pong("q", age_s=-1.0, up_s=up_s), 100.0)
+        assert reachability.freshness_bound(100.0) == word
 
 
 def test_an_outage_is_told_from_being_alone() -> None:
     reachability = _reach()
     assert not reachability.outage(100.0)
-    reachability.pong("p", 100.0, 100.1, _pong("p"), 60.0)
+    reachability.on_pong("p", 100.0, 100.1, _pong("p"), 60.0)
     assert reachability.outage(101.0)
-    assert reachability.answers("p", 101.0, "x")
-    assert not reachability.answers("p", 101.0, "y")  # another process by now
-    assert not reachability.answers("q", 101.0)
-    reachability.pong("q", 101.0, 101.1, _pong("q", reaches=True), 60.0)
+    assert reachability.peer_responds("p", 101.0, "x")
+    assert not reachability.peer_responds("p", 101.0, "y")  # another process by now
+    assert not reachability.peer_responds("q", 101.0)
+    reachability.on_pong("q", 101.0, 101.1, _pong("q", reaches=True), 60.0)
     assert not reachability.outage(102.0)
     assert not reachability.outage(120.0)  # nobody has been heard for long
 
@@ -196,14 +196,14 @@
     for peer in ("p", "q"):
         old = peer_messages.decode(msgspec.msgpack.encode(["pong", peer, "x", False, [], []]))
         assert isinstance(old, peer_messages.Pong)
-        reachability.pong(peer, 119.0, 119.1, old, 100.0)
-    assert reachability.word(100.0) == 100.0
+        reachability.on_pong(peer, 119.0, 119.1, old, 100.0)
+    assert reachability.freshness_bound(100.0) == 100.0
     new = peer_messages.decode(
         msgspec.msgpack.encode(["pong", "p", "x", True, ["job-1"], [], 0.0, 1.0, "more to come"])
     )
     assert isinstance(new, peer_messages.Pong)
-    reachability.pong("p", 130.0, 130.1, new, 100.0)
-    assert reachability.word(100.0) == 130.0
+    reachability.on_pong("p", 130.0, 130.1, new, 100.0)
+    assert reachability.freshness_bound(100.0) == 130.0
 
 
 @given(st.floats(0.5, 200), st.integers(1, 24), st.sampled_from(list(Urgency)))
--- a/tests/test_external_contract_peers.py
+++ b/tests/test_external_contract_peers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from spurarch.protocol import peer_messages, recovery_messages
-from spurarch.protocol.peer_messages import Cancelled, Load, PeerMessage, Ping, Pong, Wake
+from spurarch.protocol.peer_messages import JobsCancelled, Load, PeerMessage, Ping, Pong, StateChanged
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
     EvidenceRequest,
@@ -26,7 +26,7 @@
 from spurarch.transport import frames
 
 PEER_MESSAGES: list[tuple[str, bytes, PeerMessage]] = [
-    ("wake", b"\x91\xa4wake", Wake()),
+    ("wake", b"\x91\xa4wake", StateChanged()),
     ("ping", b"\x92\xa4ping\xa2n0", Ping("n0")),
     (
         "pong",
@@ -40,7 +40,7 @@
         b"\xcb\xbf\xf0\x00\x00\x00\x00\x00\x00\xcb\x00\x00\x00\x00\x00\x00\x00\x00",
         Pong("n0", "00ff", False, [], []),
     ),
-    ("cancelled", b"\x92\xa9cancelled\x92\xa5job-1\xa5job-2", Cancelled(["job-1", "job-2"])),
+    ("cancelled", b"\x92\xa9cancelled\x92\xa5job-1\xa5job-2", JobsCancelled(["job-1", "job-2"])),
     (
         "load",
         b"\x97\xa4load\xa2n0\xcb\x40\x08\x00\x00\x00\x00\x00\x00\xc3\x91\x92\xa1a\x02\x91\xa9vm-000001\x04",
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -279,7 +279,7 @@
 def test_the_keys_of_histories_are_the_stored_ones() -> None:
     assert (history.CURRENT, history.CLAIM) == ("history/current", "history/claim")
     assert (history.ARCHIVED, history.OPEN) == ("history/archived", "history/open/")
-    assert (history.REBUILD, history.PACKED, history.DOUBT) == ("history/rebuild/", "packed/", "doubt/")
+    assert (history.REBUILD, history.PACKED, history.UNRESOLVED_PREFIX) == ("history/rebuild/", "packed/", "doubt/")
     assert (seeds.SEED, seeds.SEED_VERSION) == ("seed/", 1)
 
 
@@ -350,13 +350,13 @@
 
 def test_a_doubt_is_read_and_written_byte_for_byte() -> None:
     stored = b'{"job":"job-1","kind":"outcome","detail":"why"}'
-    doubt = merge.Doubt("job-1", "outcome", "why")
-    assert msgspec.json.encode(doubt) == stored
-    assert msgspec.json.decode(stored, type=merge.Doubt) == doubt
+    unresolved = merge.UnresolvedOutcome("job-1", "outcome", "why")
+    assert msgspec.json.encode(unresolved) == stored
+    assert msgspec.json.decode(stored, type=merge.UnresolvedOutcome) == unresolved
 
 
 def test_the_words_for_kinds_of_doubt_are_the_stored_ones() -> None:
-    assert {kind.value for kind in merge.DoubtKind} == {"outcome", "conflict", "unknown job"}
+    assert {kind.value for kind in merge.UnresolvedKind} == {"outcome", "conflict", "unknown job"}
 
 
 def test_the_words_for_steps_of_a_rebuilding_are_the_stored_ones() -> None:
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -15,7 +15,7 @@
 from spurarch.protocol import wire
 from spurarch.protocol.recovery_messages import StoredRecord
 from spurarch.recovery.evidence import Evidence, Source, SourceKind
-from spurarch.recovery.merge import DoubtKind, Picture, highest_epoch, merge
+from spurarch.recovery.merge import RebuiltRecords, UnresolvedKind, highest_epoch, merge
 from spurarch.storage import records
 from spurarch.storage.records import (
     ASSIGNED,
@@ -54,9 +54,9 @@
     return wire.Heartbeat(machine, "10.1.0.1:1", "small", "a", session, seq, 1 << 50, seen)
 
 
-def entries(picture: Picture, job: str) -> dict[int, TaskEntry]:
+def entries(rebuilt: RebuiltRecords, job: str) -> dict[int, TaskEntry]:
     return {
-        e.index: e for allocation, record in picture.allocations.items() if allocation.job == job for e in record.tasks
+        e.index: e for allocation, record in rebuilt.allocations.items() if allocation.job == job for e in record.tasks
     }
 
 
@@ -79,75 +79,75 @@
 
 
 def test_a_task_that_its_worker_shows_stays_there() -> None:
-    picture = merge(
+    rebuilt = merge(
         evidence(
             source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1", ("job-1/0", 1, "running", None))]
         ),
         CHUNK,
     )
-    assert entries(picture, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
+    assert entries(rebuilt, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
 
 
 def test_a_task_that_its_worker_lacks_goes_back_to_the_leader() -> None:
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1")]), CHUNK)
-    assert entries(picture, "job-1")[0].state == RETURNED
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1")]), CHUNK)
+    assert entries(rebuilt, "job-1")[0].state == RETURNED
 
 
 def test_a_task_on_a_worker_that_was_not_heard_stays_on_it() -> None:
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
-    assert entries(picture, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
+    assert entries(rebuilt, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
 
 
 def test_free_tasks_go_back_to_the_leader_who_keeps_the_limits_of_teams() -> None:
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
-    assert entries(picture, "job-1")[2].state == RETURNED
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
+    assert entries(rebuilt, "job-1")[2].state == RETURNED
 
 
 def test_an_end_that_only_a_worker_knows_counts() -> None:
     seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
-    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
-    assert entries(picture, "job-1")[0].state == ENDED
+    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
+    assert entries(rebuilt, "job-1")[0].state == ENDED
 
 
 def test_an_attempt_that_only_a_worker_knows_counts() -> None:
     seen = report("vm-7", ("job-1/2", 3, "running", None), session=4)
-    picture = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
-    assert entries(picture, "job-1")[2] == TaskEntry(2, ASSIGNED, 3, "vm-7", 4)
+    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
+    assert entries(rebuilt, "job-1")[2] == TaskEntry(2, ASSIGNED, 3, "vm-7", 4)
 
 
 def test_a_service_does_not_end_by_itself() -> None:
     live = {job_key("job-1"): (5, JobRecord(spec("job-1", 1, wire.SERVICE), 1.0))}
     seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live), heartbeats=[seen]), CHUNK)
-    assert entries(picture, "job-1")[0].state == RETURNED
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live), heartbeats=[seen]), CHUNK)
+    assert entries(rebuilt, "job-1")[0].state == RETURNED
 
 
 def test_the_newest_copy_decides_and_proves_what_is_gone() -> None:
     older = source(SourceKind.ARCHIVE, "archive", 6, {job_key("job-1"): LIVE[job_key("job-1")]})
     newer = source(SourceKind.REPLICA, "n0", 20, {"final/job-1": (0, FinalRecord(wire.DONE, 3))}, since=4)
-    picture = merge(evidence(older, newer), CHUNK)
-    assert picture.finals == {"job-1": FinalRecord(wire.DONE, 3)}
-    assert picture.jobs == {}
-    assert not picture.uncertain
+    rebuilt = merge(evidence(older, newer), CHUNK)
+    assert rebuilt.finals == {"job-1": FinalRecord(wire.DONE, 3)}
+    assert rebuilt.jobs == {}
+    assert not rebuilt.uncertain
 
 
 def test_a_job_that_is_over_nobody_knows_how_is_in_doubt() -> None:
     older = source(SourceKind.ARCHIVE, "archive", 6, LIVE)
     newer = source(SourceKind.REPLICA, "n0", 20, {}, since=15)
-    picture = merge(evidence(older, newer), CHUNK)
-    assert picture.finals["job-1"].state == UNRESOLVED
-    assert [d.kind for d in picture.doubts] == [DoubtKind.OUTCOME.value]
-    assert picture.uncertain
+    rebuilt = merge(evidence(older, newer), CHUNK)
+    assert rebuilt.finals["job-1"].state == UNRESOLVED
+    assert [d.kind for d in rebuilt.unresolved] == [UnresolvedKind.OUTCOME.value]
+    assert rebuilt.uncertain
 
 
 def test_a_cancelled_job_can_only_have_ended_as_cancelled() -> None:
     live = {job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0, True, 2.0))}
-    picture = merge(
+    rebuilt = merge(
         evidence(source(SourceKind.ARCHIVE, "archive", 6, live), source(SourceKind.REPLICA, "n0", 20, {}, since=15)),
         CHUNK,
     )
-    assert picture.jobs["job-1"].cancelled
-    assert picture.doubts == []
+    assert rebuilt.jobs["job-1"].cancelled
+    assert rebuilt.unresolved == []
 
 
 def test_a_cancellation_in_any_copy_counts() -> None:
@@ -160,20 +160,20 @@
 def test_two_final_standings_are_in_doubt() -> None:
     one = source(SourceKind.REPLICA, "n0", 9, {"final/job-1": (0, FinalRecord(wire.DONE, 1))})
     other = source(SourceKind.REMAINS, "state service", 9, {"final/job-1": (0, FinalRecord(wire.CANCELLED, 1))})
-    picture = merge(evidence(one, other), CHUNK)
-    assert picture.finals["job-1"].state == UNRESOLVED
-    assert picture.doubts[0].kind == DoubtKind.CONFLICT.value
+    rebuilt = merge(evidence(one, other), CHUNK)
+    assert rebuilt.finals["job-1"].state == UNRESOLVED
+    assert rebuilt.unresolved[0].kind == UnresolvedKind.CONFLICT.value
 
 
 def test_a_task_of_a_job_that_nobody_knows_is_told() -> None:
-    picture = merge(
+    rebuilt = merge(
         evidence(
             source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[report("vm-2", ("job-9/0", 1, "running", None))]
         ),
         CHUNK,
     )
-    assert [(d.job, d.kind) for d in picture.doubts] == [("job-9", DoubtKind.UNKNOWN_JOB.value)]
-    assert "job-9" not in picture.jobs
+    assert [(d.job, d.kind) for d in rebuilt.unresolved] == [("job-9", UnresolvedKind.UNKNOWN_JOB.value)]
+    assert "job-9" not in rebuilt.jobs
 
 
 def test_members_of_a_gang_have_one_attempt_number() -> None:
@@ -181,8 +181,8 @@
         job_key("job-1"): (5, JobRecord(spec("job-1", 2, wire.GANG), 1.0)),
         "live/allot/a/job-1/0": (8, AllocationRecord([TaskEntry(0, FREE, 2), TaskEntry(1, FREE, 4)])),
     }
-    picture = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live)), CHUNK)
-    assert len({e.attempt for e in entries(picture, "job-1").values()}) == 1
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live)), CHUNK)
+    assert len({e.attempt for e in entries(rebuilt, "job-1").values()}) == 1
 
 
 def test_attempts_rise_above_those_without_a_trace() -> None:
@@ -198,12 +198,12 @@
     copy.take(StoredRecord("live/job/job-2", 3, b'{"no":"job"}'))
     copy.take(StoredRecord("live/allot/a/job-2/0", 3, b"\xff"))
     copy.take(StoredRecord("something/else", 3, b"1"))
-    picture = merge(
+    rebuilt = merge(
         evidence(copy, heartbeats=[report("vm-1", ("nonsense", 1, "running", None), ("job-1/77", 1, "running", None))]),
         CHUNK,
     )
-    assert picture.set_aside == 4
-    assert set(picture.jobs) == {"job-1"}
+    assert rebuilt.set_aside == 4
+    assert set(rebuilt.jobs) == {"job-1"}
 
 
 def test_the_highest_epoch_is_found_in_any_copy() -> None:
@@ -283,11 +283,11 @@
         return [report(name, *tasks) for name, tasks in shown.items()]
 
 
-def plain(picture: Picture) -> bytes:
+def plain(rebuilt: RebuiltRecords) -> bytes:
     """A picture in a form that can be compared."""
-    allocations = {str(allocation): record for allocation, record in sorted(picture.allocations.items())}
-    jobs, finals = dict(sorted(picture.jobs.items())), dict(sorted(picture.finals.items()))
-    return msgspec.json.encode([jobs, allocations, finals, picture.doubts, picture.uncertain, picture.set_aside])
+    allocations = {str(allocation): record for allocation, record in sorted(rebuilt.allocations.items())}
+    jobs, finals = dict(sorted(rebuilt.jobs.items())), dict(sorted(rebuilt.finals.items()))
+    return msgspec.json.encode([jobs, allocations, finals, rebuilt.unresolved, rebuilt.uncertain, rebuilt.set_aside])
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -314,15 +314,15 @@
         timeline.step()
     archive = timeline.copy(SourceKind.ARCHIVE, "archive", int(archived * timeline.revision))
     newest = timeline.copy(SourceKind.REPLICA, "n0", timeline.revision)
-    picture = merge(evidence(archive, newest, heartbeats=timeline.worker_reports()), CHUNK)
-    assert picture.doubts == []
+    rebuilt = merge(evidence(archive, newest, heartbeats=timeline.worker_reports()), CHUNK)
+    assert rebuilt.unresolved == []
     for key, (_, record) in timeline.keys.items():
         if isinstance(record, FinalRecord):
-            assert picture.finals[key[len(records.FINAL) :]] == record
+            assert rebuilt.finals[key[len(records.FINAL) :]] == record
         elif isinstance(record, JobRecord):
-            assert picture.jobs[record.spec.id] == record
+            assert rebuilt.jobs[record.spec.id] == record
         elif isinstance(record, AllocationRecord):
-            found = entries(picture, records.AllocationKey.parse(key).job)
+            found = entries(rebuilt, records.AllocationKey.parse(key).job)
             for entry in record.tasks:
                 expected = RETURNED if entry.state == FREE else entry.state
                 assert (found[entry.index].state, found[entry.index].machine) == (
@@ -340,11 +340,11 @@
         timeline.step()
     archive = timeline.copy(SourceKind.ARCHIVE, "archive", int(archived * timeline.revision))
     heartbeats = timeline.worker_reports()
-    picture = merge(evidence(archive, heartbeats=heartbeats, complete=False), CHUNK)
-    assert picture.uncertain
+    rebuilt = merge(evidence(archive, heartbeats=heartbeats, complete=False), CHUNK)
+    assert rebuilt.uncertain
     running = {t.task: r.machine for r in heartbeats for t in r.tasks}
-    for job in picture.jobs:
-        for entry in entries(picture, job).values():
+    for job in rebuilt.jobs:
+        for entry in entries(rebuilt, job).values():
             machine = running.get(f"{job}/{entry.index}")
             if machine is not None and entry.state != ENDED:
                 assert (entry.state, entry.machine) == (ASSIGNED, machine)
@@ -407,16 +407,16 @@
     @rule()
     def merge(self) -> None:
         """The picture of the moment."""
-        picture = merge(self.evidence, CHUNK)
-        assert plain(merge(self.evidence, CHUNK)) == plain(picture)
-        for job, final in picture.finals.items():
+        rebuilt = merge(self.evidence, CHUNK)
+        assert plain(merge(self.evidence, CHUNK)) == plain(rebuilt)
+        for job, final in rebuilt.finals.items():
             if final.state != UNRESOLVED:
                 assert self.finals.setdefault(job, final) == final
         for job, final in self.finals.items():
-            assert picture.finals[job] == final
-        for job in picture.jobs:
-            assert job not in picture.finals
-            states = entries(picture, job)
+            assert rebuilt.finals[job] == final
+        for job in rebuilt.jobs:
+            assert job not in rebuilt.finals
+            states = entries(rebuilt, job)
             assert sorted(states) == list(range(len(states)))
             assert all(entry.machine for entry in states.values() if entry.state == ASSIGNED)
 
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -16,7 +16,7 @@
 from spurarch.protocol import wire
 from spurarch.recovery import operators
 from spurarch.recovery.coverage import ArchiveProgress
-from spurarch.recovery.merge import Doubt
+from spurarch.recovery.merge import UnresolvedOutcome
 from spurarch.recovery.operators import OperatorError, declare_first_history
 from spurarch.settings import StateLimits, load_tuning
 from spurarch.storage.history import ARCHIVED, CURRENT, HistoryGuard, HistoryRecord
@@ -87,7 +87,7 @@
         await declare_first_history(client, False)
         put(service, "final/job-1", {"state": "in doubt", "tasks": 3})
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
-        assert (await operators.read_status(client)).doubts == [Doubt("job-1", "outcome", "x")]
+        assert (await operators.read_status(client)).doubts == [UnresolvedOutcome("job-1", "outcome", "x")]
         await operators.settle_job(client, "job-1", wire.DONE)
         assert service.keys["final/job-1"][0] == {"state": "done", "tasks": 3}
         with pytest.raises(OperatorError, match="not in doubt"):
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -11,7 +11,7 @@
 
 from spurarch.coordination.machine import MachineState
 from spurarch.coordination.release_candidates import overdue_machines
-from spurarch.coordination.releasing import MachineReleaser
+from spurarch.coordination.releasing import ScaleIn
 from spurarch.protocol import wire
 from spurarch.settings import Workers
 from spurarch.storage import records
@@ -21,11 +21,11 @@
 WORKERS = Workers(1.0, 10.0, 30.0)
 
 
-def _returns(**parts: Any) -> MachineReleaser:
+def _returns(**parts: Any) -> ScaleIn:
     unused: Any = None
     given = {"can": SimpleNamespace(reachability=None), "owned": {}, "replica": None, "cloud": None, **parts}
     fixed = (given["replica"], unused, unused, given["cloud"], given["can"])
-    return MachineReleaser(*fixed, unused, unused, unused, given["owned"])
+    return ScaleIn(*fixed, unused, unused, unused, given["owned"])
 
 
 def test_a_machine_left_out_of_a_return_is_of_use_again() -> None:
@@ -57,9 +57,9 @@
     can: Any = SimpleNamespace(owns=lambda part: True, reachability=None)
     replica, cloud = SimpleNamespace(sync=sync), SimpleNamespace(release=release)
     returns = _returns(can=can, replica=replica, cloud=cloud)
-    returns._close = close  # type: ignore[method-assign, assignment]
+    returns._cordon = close  # type: ignore[method-assign, assignment]
     owned: Any = SimpleNamespace(partition=fleet.partition, wakeup=SimpleNamespace(set=ring))
-    curio.run(returns._return, owned, machines)
+    curio.run(returns._release_owned, owned, machines)
     assert released == ["vm-0"]
     assert [machine.state for machine in machines] == [MachineState.RELEASED, MachineState.ACTIVE]
     assert not machines[1].releasing
@@ -79,7 +79,7 @@
     _stop_cancelled(fleet, 25.0)  # cancelled at 20
     assert not overdue_machines(fleet.partition, WORKERS, first - 0.1, cut)
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, first + 0.1, cut)] == ["vm-0", "vm-1"]
-    assert not overdue_machines(fleet.partition, WORKERS, first + 0.1, cut, woke_at=first - 3.0)  # its own silence
+    assert not overdue_machines(fleet.partition, WORKERS, first + 0.1, cut, resumed_at=first - 3.0)  # its own silence
 
 
 def test_a_machine_that_fell_silent_with_a_cancelled_task_stays_overdue() -> None:
@@ -118,10 +118,10 @@
     returns = _returns(
         replica=SimpleNamespace(state=fleet.state), owned={"a": SimpleNamespace(partition=fleet.partition)}
     )
-    returns._remember_returned({"vm-1": "a", "vm-7": "a"})
-    told = returns.unrecorded()
+    returns._remember_released({"vm-1": "a", "vm-7": "a"})
+    told = returns.released_unrecorded()
     assert told == ["vm-1"]  # the record of vm-7 is gone
-    returns.hear("n1", {}, told)
+    returns.on_peer_load("n1", {}, told)
     assert fleet.partition.machines["vm-1"].state is MachineState.RELEASED
     assert fleet.partition.machines["vm-0"].state is MachineState.ACTIVE
     assert len(fleet.partition.terminal_attempts) == 1  # its tasks may start elsewhere
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from spurarch import cli
-from spurarch.coordination.users import Users
+from spurarch.coordination.users import JobApi
 from spurarch.protocol import peer_messages, wire
 from spurarch.settings import (
     CloudLimits,
@@ -142,9 +142,9 @@
     deployment = Deployment(["a"], [Team("t")], Workers(1.0, 10.0, 30.0), state, CloudLimits(8.0, 5.0))
     names = [f"machine-type-{n}" for n in range(types)]
     view = SimpleNamespace(offers={name: wire.MachineType(name, 8.0, 0.0, 8.0, 1.0, 1.0, 1.0, ["a"]) for name in names})
-    users = Users(None, view, deployment, [], None, None)  # type: ignore[arg-type]
+    users = JobApi(None, view, deployment, [], None, None)  # type: ignore[arg-type]
     spec = wire.submission_decoder.decode(msgspec.json.encode({**GOOD, "builds": names}))
-    refusal = users._impossible(spec)
+    refusal = users._validate_feasible(spec)
     assert (refusal.status if refusal else None) == status
 
 
--- a/tests/test_round_budget.py
+++ b/tests/test_round_budget.py
@@ -7,7 +7,7 @@
 import pytest
 
 from spurarch.coordination import round_budget
-from spurarch.coordination.loop_lag import LONGEST_PAUSE_S, LoopLag
+from spurarch.coordination.loop_lag import LONGEST_PAUSE_S, EventLoopLag
 from spurarch.coordination.round_budget import RoundBudget, rest_s
 
 
@@ -50,15 +50,15 @@
 
 
 def test_a_late_loop_gathers_more_news_for_a_round_but_not_for_ever() -> None:
-    lag = LoopLag()
+    lag = EventLoopLag()
     assert lag.pause_s(0.03) == 0.03
-    lag.note(0.1)
+    lag.record(0.1)
     assert not lag.late
     assert lag.pause_s(0.03) == 0.1
-    lag.note(5.0)
+    lag.record(5.0)
     assert lag.late
     assert lag.pause_s(0.03) == LONGEST_PAUSE_S
     for _ in range(20):
-        lag.note(0.0)  # what was late for once is forgotten soon
+        lag.record(0.0)  # what was late for once is forgotten soon
     assert not lag.late
     assert lag.pause_s(0.03) == 0.03
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -8,7 +8,7 @@
 from spurarch.coordination.controller import SOCKETS_RESERVED
 from spurarch.coordination.machine import MachineState
 from spurarch.coordination.release_candidates import cut_off, silent_machines
-from spurarch.coordination.stall_detector import GAP_S, StallDetector
+from spurarch.coordination.stall_detector import STALL_S, StallDetector
 from spurarch.settings import Tuning, Workers
 from tests.test_scale import Fleet
 
@@ -17,12 +17,12 @@
 
 def test_after_a_gap_nothing_counts_before_a_word_that_was_asked_for_after_it() -> None:
     stall_detector = StallDetector()
-    assert stall_detector.steady(100.0, 99.5)
-    assert stall_detector.steady(100.0 + GAP_S, 99.5)
-    woke = 100.0 + 2 * GAP_S + 20.0
-    assert not stall_detector.steady(woke, 101.0)  # whoever asks first after the gap finds it
-    assert not stall_detector.steady(woke + 0.1, woke - 0.1)
-    assert stall_detector.steady(woke + 0.2, woke + 0.1)
+    assert stall_detector.confirmed_since_stall(100.0, 99.5)
+    assert stall_detector.confirmed_since_stall(100.0 + STALL_S, 99.5)
+    woke = 100.0 + 2 * STALL_S + 20.0
+    assert not stall_detector.confirmed_since_stall(woke, 101.0)  # whoever asks first after the gap finds it
+    assert not stall_detector.confirmed_since_stall(woke + 0.1, woke - 0.1)
+    assert stall_detector.confirmed_since_stall(woke + 0.2, woke + 0.1)
 
 
 def test_silence_counts_from_waking() -> None:
@@ -30,9 +30,9 @@
     fleet = Fleet(10)
     woke = 60.0  # the machines were last heard 58 s before
 
-    def found(now: float, woke_at: float) -> int:
-        cut = cut_off(fleet.partition, WORKERS, now, woke_at)
-        return cut + len(silent_machines(fleet.partition, Tuning(), WORKERS, 15.0, now, cut, woke_at))
+    def found(now: float, resumed_at: float) -> int:
+        cut = cut_off(fleet.partition, WORKERS, now, resumed_at)
+        return cut + len(silent_machines(fleet.partition, Tuning(), WORKERS, 15.0, now, cut, resumed_at))
 
     assert found(woke, 0.0)
     assert not found(woke, woke)
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -92,14 +92,14 @@
 
 def test_an_idle_controller_does_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     rounds = 0
-    work = PartitionOwner._work
+    work = PartitionOwner._run_round
 
     async def counted(self: PartitionOwner, held: object) -> None:
         nonlocal rounds
         rounds += 1
         await work(self, held)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(PartitionOwner, "_work", counted)
+    monkeypatch.setattr(PartitionOwner, "_run_round", counted)
     network, sleeps = StandInNetwork(), 0
     sleep = curio.sleep
 
