--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -35,7 +35,7 @@
     decode_history,
     is_record_key,
 )
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import FINAL, LIVE
 from spurarch.storage.seeds import SEED
 from spurarch.storage.store import RevisionTooOldError, Store, StoreUnavailableError, TransactionStatus
--- a/spurarch/coordination/job_ends.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -4,11 +4,11 @@
 
 import logging
 
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, FinalRecord
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import TransactionStatus
--- a/spurarch/coordination/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -9,8 +9,8 @@
 
 from collections import defaultdict
 
-from spurarch.coordination.team_ledger import Charge
-from spurarch.coordination.view import FleetView, JobView
+from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.quota_ledger import Charge
 from spurarch.storage import records
 
 PASS_EVERY_S = 10.0
--- a/spurarch/coordination/admission.py
+++ b/spurarch/coordination/admission/planner.py
@@ -11,7 +11,9 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from spurarch.coordination.best_fit import (
+from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge
+from spurarch.coordination.scheduling.best_fit import (
     EPSILON,
     PRIORITIES,
     MachineCapacity,
@@ -21,8 +23,6 @@
     best_fit,
     fill,
 )
-from spurarch.coordination.team_ledger import NO_CHARGE, Charge
-from spurarch.coordination.view import FleetView, JobView
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
 
--- a/spurarch/coordination/admission_writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -8,14 +8,14 @@
 
 import curio
 
-from spurarch.coordination.admission import AdmissionGrant
-from spurarch.coordination.allocation_changes import is_live
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.team_ledger import QuotaReservation
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.quota_ledger import QuotaReservation
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.partition.allocation_changes import is_live
 from spurarch.settings import StateLimits
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, TaskEntry
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import TransactionResult, TransactionStatus
--- /dev/null
+++ b/spurarch/coordination/api/__init__.py
@@ -0,0 +1,1 @@
+"""The users' request API."""
--- a/spurarch/coordination/users.py
+++ b/spurarch/coordination/api/jobs.py
@@ -10,12 +10,12 @@
 import curio
 import msgspec
 
-from spurarch.coordination.membership import gangs_supported
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import gangs_supported
 from spurarch.protocol import wire
 from spurarch.settings import Deployment
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import JobRecord
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import StoreUnavailableError, TransactionStatus
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -11,19 +11,19 @@
 import curio
 import msgspec
 
-from spurarch.coordination.command_sender import direct_connections
-from spurarch.coordination.loop_lag import EventLoopLag
-from spurarch.coordination.membership import Membership, rate_shares
-from spurarch.coordination.partition_owner import PartitionOwner
-from spurarch.coordination.stall_detector import CHECK_INTERVAL_S, StallDetector
-from spurarch.coordination.store_reachability import StoreReachability
-from spurarch.coordination.users import JobApi, error
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.api.jobs import JobApi, error
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import Membership, rate_shares
+from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.coordination.partition.command_sender import direct_connections
+from spurarch.coordination.partition.owner import PartitionOwner
+from spurarch.coordination.runtime.event_loop_lag import EventLoopLag
+from spurarch.coordination.runtime.stall_detector import CHECK_INTERVAL_S, StallDetector
 from spurarch.protocol import peer_messages, wire
 from spurarch.settings import Platform, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
-from spurarch.storage.limits import borrowed_share
+from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store, StoreUnavailableError
 from spurarch.transport.http import Request, Response
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from spurarch.coordination.leader import Leader
-    from spurarch.coordination.partition import ArchiveCoverage
+    from spurarch.coordination.partition.partition import ArchiveCoverage
     from spurarch.storage.history import HistoryGuard
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from spurarch.coordination.best_fit import EPSILON, MachineCapacity, Requirements
-from spurarch.coordination.team_ledger import Charge, QuotaLedger
+from spurarch.coordination.fleet.interner import StringInterner
+from spurarch.coordination.fleet.quota_ledger import Charge, QuotaLedger
+from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.protocol import wire
-from spurarch.protocol.names import StringInterner
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord
--- a/spurarch/coordination/team_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -10,7 +10,7 @@
 import logging
 from dataclasses import dataclass
 
-from spurarch.coordination.violations import InvariantViolations
+from spurarch.coordination.runtime.invariants import InvariantViolations
 from spurarch.settings import Team
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -8,18 +8,18 @@
 
 import curio
 
-from spurarch.coordination.admission import AdmissionPlan, AdmissionPlanner, CapacityShortage
-from spurarch.coordination.admission_writer import AdmissionWriter
-from spurarch.coordination.job_ends import JobFinalizer
-from spurarch.coordination.ledger_audit import LedgerAudit
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.renting import ScaleOut
-from spurarch.coordination.round_budget import RoundBudget, rest_s
-from spurarch.coordination.stall_detector import StallDetector
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.admission.job_finalizer import JobFinalizer
+from spurarch.coordination.admission.ledger_audit import LedgerAudit
+from spurarch.coordination.admission.planner import AdmissionPlan, AdmissionPlanner, CapacityShortage
+from spurarch.coordination.admission.writer import AdmissionWriter
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.runtime.round_budget import RoundBudget, rest_s
+from spurarch.coordination.runtime.stall_detector import StallDetector
+from spurarch.coordination.scaling.scale_out import ScaleOut
 from spurarch.settings import Deployment, Tuning
 from spurarch.storage.cloud import Cloud
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.replica import Replica
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/spurarch/coordination/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Member leases, leader election, partition ownership, and what this controller may do at the moment."""
--- a/spurarch/coordination/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -12,7 +12,7 @@
 import curio
 
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import LeaderRecord, MemberRecord, PartitionRecord
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import TransactionStatus
--- a/spurarch/coordination/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -4,10 +4,10 @@
 
 import time
 
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.partition import Partition
-from spurarch.coordination.stall_detector import StallDetector
-from spurarch.coordination.store_reachability import StoreReachability
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.runtime.stall_detector import StallDetector
 from spurarch.storage.replica import Replica
 
 FRESH_S = 2.0
--- /dev/null
+++ b/spurarch/coordination/partition/__init__.py
@@ -0,0 +1,1 @@
+"""A partition in its owner's hands: machine and attempt state machines, heartbeats, commands, records."""
--- a/spurarch/coordination/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -8,9 +8,9 @@
 import curio
 import msgspec
 
-from spurarch.coordination.machine import Machine
-from spurarch.coordination.owned_partition import OwnedPartition
-from spurarch.coordination.permissions import Permissions
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.partition.machine import Machine
+from spurarch.coordination.partition.owned_partition import OwnedPartition
 from spurarch.protocol import wire
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Network, Requests
--- a/spurarch/coordination/failures.py
+++ b/spurarch/coordination/partition/failures.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from spurarch.coordination.machine import Machine, TaskAttempt
+from spurarch.coordination.partition.machine import Machine, TaskAttempt
 from spurarch.protocol import wire
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -16,7 +16,7 @@
 import logging
 from collections.abc import Iterable
 
-from spurarch.coordination.machine import AttemptPhase, TaskAttempt
+from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
--- a/spurarch/coordination/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -7,11 +7,11 @@
 
 import curio
 
-from spurarch.coordination.partition import Partition
+from spurarch.coordination.partition.partition import Partition
 from spurarch.settings import Tuning
 
 if TYPE_CHECKING:
-    from spurarch.coordination.placing import TaskPlacer
+    from spurarch.coordination.scheduling.placement import TaskPlacer
 
 
 class OwnedPartition:
@@ -37,6 +37,6 @@
     @cached_property
     def placer(self) -> TaskPlacer:
         """Places new tasks here; loaded with the first round, since answers to workers don't need it."""
-        from spurarch.coordination.placing import TaskPlacer
+        from spurarch.coordination.scheduling.placement import TaskPlacer
 
         return TaskPlacer(self._tuning.longest_wait_s, self._tuning.guarantee_wait_s, self._silent_s)
--- a/spurarch/coordination/partition_owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -10,24 +10,24 @@
 
 import curio
 
-from spurarch.coordination.allocation_changes import checkpoint_grace_s, is_live_gang, merge_changes
-from spurarch.coordination.command_sender import CommandSender
-from spurarch.coordination.loop_lag import EventLoopLag
-from spurarch.coordination.machine import MachineState, TaskAttempt
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.owned_partition import OwnedPartition
-from spurarch.coordination.partition import ArchiveCoverage, Partition
-from spurarch.coordination.permissions import Permissions
-from spurarch.coordination.releasing import ScaleIn
-from spurarch.coordination.round_budget import RoundBudget
-from spurarch.coordination.stall_detector import StallDetector
-from spurarch.coordination.store_reachability import StoreReachability
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.coordination.partition.allocation_changes import checkpoint_grace_s, is_live_gang, merge_changes
+from spurarch.coordination.partition.command_sender import CommandSender
+from spurarch.coordination.partition.machine import MachineState, TaskAttempt
+from spurarch.coordination.partition.owned_partition import OwnedPartition
+from spurarch.coordination.partition.partition import ArchiveCoverage, Partition
+from spurarch.coordination.runtime.event_loop_lag import EventLoopLag
+from spurarch.coordination.runtime.round_budget import RoundBudget
+from spurarch.coordination.runtime.stall_detector import StallDetector
+from spurarch.coordination.scaling.scale_in import ScaleIn
 from spurarch.protocol import wire
 from spurarch.settings import Deployment, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import TransactionStatus
@@ -328,7 +328,7 @@
         owned.next_search = now + self.tuning.round_s
         if first or not self.permissions.records_are_fresh(now):
             return
-        from spurarch.coordination.local_search import refine  # not needed to answer workers after a restart
+        from spurarch.coordination.scheduling.local_search import refine  # not needed to answer workers after a restart
 
         result = refine(partition, self.view, self.tuning, now, self._random, self._round_budget().spent)
         if result.empty is not None:
--- a/spurarch/coordination/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from spurarch.coordination.allocation_changes import checkpoint_grace_s, is_live, is_live_gang
-from spurarch.coordination.failures import FailureAttribution, JobBackoff
-from spurarch.coordination.gang import Gangs, GangState
-from spurarch.coordination.machine import AttemptPhase, Machine, MachineState, TaskAttempt, observed_phase
-from spurarch.coordination.violations import InvariantViolations
+from spurarch.coordination.partition.allocation_changes import checkpoint_grace_s, is_live, is_live_gang
+from spurarch.coordination.partition.failures import FailureAttribution, JobBackoff
+from spurarch.coordination.partition.gang import Gangs, GangState
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, TaskAttempt, observed_phase
+from spurarch.coordination.runtime.invariants import InvariantViolations
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, AllocationRecord, MachineRecord, TaskEntry
--- a/spurarch/coordination/releasing.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -8,20 +8,20 @@
 
 import curio
 
-from spurarch.coordination.machine import Machine, MachineState
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.owned_partition import OwnedPartition
-from spurarch.coordination.partition import RELEASED_MACHINES_KEPT, Partition
-from spurarch.coordination.permissions import Permissions
-from spurarch.coordination.release_candidates import (
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.partition.machine import Machine, MachineState
+from spurarch.coordination.partition.owned_partition import OwnedPartition
+from spurarch.coordination.partition.partition import RELEASED_MACHINES_KEPT, Partition
+from spurarch.coordination.runtime.stall_detector import StallDetector
+from spurarch.coordination.scaling.scale_in_candidates import (
     cut_off,
     idle_machines,
     orphaned_machines,
     overdue_machines,
     silent_machines,
 )
-from spurarch.coordination.stall_detector import StallDetector
-from spurarch.coordination.view import FleetView
 from spurarch.settings import Deployment, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
--- a/spurarch/coordination/release_candidates.py
+++ b/spurarch/coordination/scaling/scale_in_candidates.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from spurarch.coordination.failures import FAULTS_BEFORE_PAUSE
-from spurarch.coordination.machine import Machine, MachineState
-from spurarch.coordination.partition import Partition
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.partition.failures import FAULTS_BEFORE_PAUSE
+from spurarch.coordination.partition.machine import Machine, MachineState
+from spurarch.coordination.partition.partition import Partition
 from spurarch.settings import Tuning, Workers
 from spurarch.storage import records
 from spurarch.storage.replica import ClusterState
--- a/spurarch/coordination/renting.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -7,18 +7,18 @@
 
 import curio
 
-from spurarch.coordination.admission import CapacityShortage
-from spurarch.coordination.best_fit import MachineCapacity
-from spurarch.coordination.membership import Membership
-from spurarch.coordination.provisioning import (
+from spurarch.coordination.admission.planner import CapacityShortage
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.runtime.stall_detector import StallDetector
+from spurarch.coordination.scaling.scale_out_planner import (
     FreedCapacityEstimate,
     MachineKind,
     ScaleOutOrder,
     empty_capacity,
     plan_scale_out,
 )
-from spurarch.coordination.stall_detector import StallDetector
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.scheduling.best_fit import MachineCapacity
 from spurarch.protocol import wire
 from spurarch.settings import Deployment, Tuning
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
--- a/spurarch/coordination/placing.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -8,8 +8,12 @@
 from functools import cached_property
 from itertools import groupby, islice
 
-from spurarch.coordination.allocation_changes import is_live
-from spurarch.coordination.best_fit import (
+from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.gang import GangAttempt, GangState
+from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.scheduling.best_fit import (
     EPSILON,
     MachineCapacity,
     Requirements,
@@ -20,10 +24,6 @@
     machine_to_reserve,
     machines_to_reserve,
 )
-from spurarch.coordination.gang import GangAttempt, GangState
-from spurarch.coordination.machine import AttemptPhase, TaskAttempt
-from spurarch.coordination.partition import Partition
-from spurarch.coordination.view import FleetView, JobView
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
 
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -14,7 +14,7 @@
 
 from spurarch.protocol import wire
 from spurarch.storage.history import CLAIM
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.store import Store, StoreUnavailableError, TransactionResult, TransactionStatus
 
 HEARTBEAT_S = 1.0
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -26,7 +26,7 @@
     decode_history,
     is_record_key,
 )
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import FinalRecord
 from spurarch.storage.store import Store, TransactionStatus
 
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -19,8 +19,8 @@
 from spurarch.protocol.recovery_messages import HeartbeatsPage, HeartbeatsRequest
 from spurarch.recovery import copies
 from spurarch.recovery.claim import FINISHED, HEARTBEAT_S, ClaimLostError, RebuildClaim
-from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.evidence import Evidence, Source, SourceKind
+from spurarch.recovery.heartbeat_collector import HeartbeatCollector
 from spurarch.recovery.merge import Merger, RebuiltRecords, highest_epoch, machines_on_record
 from spurarch.settings import Deployment
 from spurarch.storage import records
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -16,9 +16,9 @@
 
 import curio
 
-from spurarch.coordination.partition import TOKEN_BITS
-from spurarch.coordination.partition_owner import PartitionOwner
-from spurarch.coordination.permissions import Permissions
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.partition.owner import PartitionOwner
+from spurarch.coordination.partition.partition import TOKEN_BITS
 from spurarch.protocol import recovery_messages, wire
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
@@ -31,9 +31,9 @@
 )
 from spurarch.recovery import copies
 from spurarch.recovery.claim import ClaimLostError, RebuildClaim
-from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.copies import ArchiveHead
 from spurarch.recovery.evidence import Source
+from spurarch.recovery.heartbeat_collector import HeartbeatCollector
 from spurarch.recovery.rebuild import RebuildContext, Rebuilding, RebuildRefusedError
 from spurarch.settings import Platform, Tuning
 from spurarch.storage.cloud import Cloud
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spurarch.protocol import wire
-from spurarch.storage.limits import TokenBucket
+from spurarch.storage.rate_limits import TokenBucket
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Requests
 
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -20,7 +20,7 @@
 
 from spurarch.protocol import wire
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import (
     AdmissionRecord,
     AllocationKey,
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -13,7 +13,7 @@
 
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits
-from spurarch.storage.limits import AdaptiveFactor, TokenBucket, Urgency
+from spurarch.storage.rate_limits import AdaptiveFactor, TokenBucket, Urgency
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Requests
 
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -9,9 +9,9 @@
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
 from spurarch.cli import main
-from spurarch.coordination.machine import AttemptPhase
-from spurarch.coordination.partition import Partition
-from spurarch.coordination.team_ledger import QuotaLedger
+from spurarch.coordination.fleet.quota_ledger import QuotaLedger
+from spurarch.coordination.partition.machine import AttemptPhase
+from spurarch.coordination.partition.partition import Partition
 
 
 def leave_limit_out() -> None:
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -9,16 +9,16 @@
 import curio
 import msgspec
 
-from spurarch.coordination.admission import AdmissionGrant
-from spurarch.coordination.admission_writer import AdmissionWriter
-from spurarch.coordination.job_ends import JobFinalizer
+from spurarch.coordination.admission.job_finalizer import JobFinalizer
+from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.admission.writer import AdmissionWriter
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.quota_ledger import Charge
 from spurarch.coordination.leader import Leader
-from spurarch.coordination.team_ledger import Charge
-from spurarch.coordination.view import FleetView
 from spurarch.protocol import wire
 from spurarch.settings import CloudLimits, Deployment, StateLimits, Team, Tuning, Workers
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, AllocationRecord, FinalRecord, JobRecord, TaskEntry
 from spurarch.storage.replica import Write
 from spurarch.storage.store import TransactionResult, TransactionStatus
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -4,13 +4,13 @@
 
 import curio
 
-from spurarch.coordination.admission import AdmissionPlanner
-from spurarch.coordination.placing import TaskPlacer
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.admission.planner import AdmissionPlanner
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.scheduling.placement import TaskPlacer
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, MachineRecord, TaskEntry
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,12 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spurarch.coordination.best_fit import MachineCapacity, Requirements, best_fit
-from spurarch.coordination.membership import assign_partitions
-from spurarch.coordination.store_reachability import StoreReachability
-from spurarch.coordination.tabu import Replica, Search, Weights
+from spurarch.coordination.membership.membership import assign_partitions
+from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, best_fit
+from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import peer_messages
-from spurarch.storage.limits import TokenBucket, Urgency
+from spurarch.storage.rate_limits import TokenBucket, Urgency
 from spurarch.storage.records import MemberRecord, PartitionRecord
 
 WEIGHTS = Weights(0.234, 0.512, 0.254)
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -15,7 +15,7 @@
 
 from spurarch.coordination.controller import Controller
 from spurarch.protocol.wire import Heartbeat, TaskStatus
-from spurarch.recovery.collector import HeartbeatCollector
+from spurarch.recovery.heartbeat_collector import HeartbeatCollector
 from spurarch.recovery.launch import controller_with_recovery
 from spurarch.transport.http import Handler, HttpServer, Request, Response
 from spurarch.transport.http_messages import MessageError, RequestParser, error_response, render_response
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from spurarch.coordination.admission import AdmissionPlanner
-from spurarch.coordination.local_search import refine
-from spurarch.coordination.partition import RELEASED_MACHINES_KEPT
-from spurarch.coordination.placing import TaskPlacer
+from spurarch.coordination.admission.planner import AdmissionPlanner
+from spurarch.coordination.partition.partition import RELEASED_MACHINES_KEPT
+from spurarch.coordination.scheduling.local_search import refine
+from spurarch.coordination.scheduling.placement import TaskPlacer
 from spurarch.protocol import peer_messages
 from spurarch.settings import Tuning
 from spurarch.storage import records
--- a/tests/test_recovery_faults.py
+++ b/tests/test_recovery_faults.py
@@ -8,9 +8,9 @@
 import pytest
 
 from spurarch.recovery import merge, rebuild
-from spurarch.recovery.collector import HeartbeatCollector
 from spurarch.recovery.coverage import ArchiveProgress
 from spurarch.recovery.evidence import Source, Versioned
+from spurarch.recovery.heartbeat_collector import HeartbeatCollector
 from spurarch.storage.history import HistoryGuard, HistoryRecord
 from tests.sim.recovery import RecoveryPlay
 from tests.sim.scenario_text import Scenario
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -7,7 +7,7 @@
 import pytest
 
 from spurarch.recovery import rebuild
-from spurarch.storage.limits import Urgency
+from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.replica import Replica
 from spurarch.storage.seeds import PackedSeed
 from spurarch.storage.store import TransactionResult
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -9,9 +9,9 @@
 import curio
 import pytest
 
-from spurarch.coordination.machine import MachineState
-from spurarch.coordination.release_candidates import overdue_machines
-from spurarch.coordination.releasing import ScaleIn
+from spurarch.coordination.partition.machine import MachineState
+from spurarch.coordination.scaling.scale_in import ScaleIn
+from spurarch.coordination.scaling.scale_in_candidates import overdue_machines
 from spurarch.protocol import wire
 from spurarch.settings import Workers
 from spurarch.storage import records
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from spurarch import cli
-from spurarch.coordination.users import JobApi
+from spurarch.coordination.api.jobs import JobApi
 from spurarch.protocol import peer_messages, wire
 from spurarch.settings import (
     CloudLimits,
--- a/tests/test_round_budget.py
+++ b/tests/test_round_budget.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from spurarch.coordination import round_budget
-from spurarch.coordination.loop_lag import LONGEST_PAUSE_S, EventLoopLag
-from spurarch.coordination.round_budget import RoundBudget, rest_s
+from spurarch.coordination.runtime import round_budget
+from spurarch.coordination.runtime.event_loop_lag import LONGEST_PAUSE_S, EventLoopLag
+from spurarch.coordination.runtime.round_budget import RoundBudget, rest_s
 
 
 @pytest.fixture
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,20 +12,27 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spurarch.coordination import best_fit as best_fit_module
-from spurarch.coordination.admission import AdmissionPlanner
-from spurarch.coordination.allocation_changes import merge_changes
-from spurarch.coordination.best_fit import MachineCapacity, Requirements, TentativeBookings, best_fit, fill, fitting
-from spurarch.coordination.machine import AttemptPhase, Machine
-from spurarch.coordination.membership import rate_shares
-from spurarch.coordination.partition import Partition
-from spurarch.coordination.placing import TaskPlacer
-from spurarch.coordination.tabu import Replica, Search, Weights
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.admission.planner import AdmissionPlanner
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.membership.membership import rate_shares
+from spurarch.coordination.partition.allocation_changes import merge_changes
+from spurarch.coordination.partition.machine import AttemptPhase, Machine
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.scheduling import best_fit as best_fit_module
+from spurarch.coordination.scheduling.best_fit import (
+    MachineCapacity,
+    Requirements,
+    TentativeBookings,
+    best_fit,
+    fill,
+    fitting,
+)
+from spurarch.coordination.scheduling.placement import TaskPlacer
+from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
-from spurarch.storage.limits import borrowed_share
+from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, MachineRecord, TaskEntry
 from spurarch.storage.replica import ClusterState
 from spurarch.storage.store import Store
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from spurarch.coordination.command_sender import direct_connections
 from spurarch.coordination.controller import SOCKETS_RESERVED
-from spurarch.coordination.machine import MachineState
-from spurarch.coordination.release_candidates import cut_off, silent_machines
-from spurarch.coordination.stall_detector import STALL_S, StallDetector
+from spurarch.coordination.partition.command_sender import direct_connections
+from spurarch.coordination.partition.machine import MachineState
+from spurarch.coordination.runtime.stall_detector import STALL_S, StallDetector
+from spurarch.coordination.scaling.scale_in_candidates import cut_off, silent_machines
 from spurarch.settings import Tuning, Workers
 from tests.test_scale import Fleet
 
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -28,11 +28,11 @@
     "curio.ssl",
     "sexpdata",
     "spurarch.coordination.leader",
-    "spurarch.coordination.admission",
-    "spurarch.coordination.placing",
-    "spurarch.coordination.local_search",
-    "spurarch.coordination.tabu",
-    "spurarch.coordination.provisioning",
+    "spurarch.coordination.admission.planner",
+    "spurarch.coordination.scheduling.placement",
+    "spurarch.coordination.scheduling.local_search",
+    "spurarch.coordination.scheduling.tabu_search",
+    "spurarch.coordination.scaling.scale_out_planner",
     "spurarch.storage.history",
     "spurarch.protocol.recovery_messages",
     "spurarch.recovery",
@@ -103,6 +103,6 @@
     )
     assert made.returncode == 0, made.stderr
     loaded = set(json.loads(made.stdout))
-    assert "spurarch.coordination.partition_owner" in loaded
+    assert "spurarch.coordination.partition.owner" in loaded
     assert not UNUSED & loaded
     assert len(loaded) <= MOST_MODULES
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.admission import AdmissionPlanner
-from spurarch.coordination.ledger_audit import ENTRIES_AT_ONCE, PASS_EVERY_S, LedgerAudit
-from spurarch.coordination.team_ledger import NO_CHARGE, Charge, QuotaLedger
-from spurarch.coordination.view import FleetView
+from spurarch.coordination.admission.ledger_audit import ENTRIES_AT_ONCE, PASS_EVERY_S, LedgerAudit
+from spurarch.coordination.admission.planner import AdmissionPlanner
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge, QuotaLedger
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, JobRecord, TaskEntry
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,7 +8,7 @@
 from spurarch.protocol import peer_messages
 from spurarch.settings import NextStateLimits, StateLimits
 from spurarch.storage import records
-from spurarch.storage.limits import AdaptiveFactor
+from spurarch.storage.rate_limits import AdaptiveFactor
 from spurarch.storage.records import AllocationRecord, MemberRecord, TaskEntry
 
 # As the version before gangs writes them.
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from spurarch.coordination.controller import Controller
-from spurarch.coordination.partition_owner import PartitionOwner
+from spurarch.coordination.partition.owner import PartitionOwner
 from spurarch.settings import CloudLimits, Deployment, External, Platform, StateLimits, Tuning, Workers
 from spurarch.transport import http
 from spurarch.transport.http import HttpServer, Request, Response
