--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -91,7 +91,7 @@
     try:
         return read_point(found[-1]) if found else None
     except (EmptyArchiveError, DamagedFileError) as err:
-        log.error("archive: %s", err)
+        log.error("archived history unreadable history=%s error=%s", name, err)
         return None
 
 
--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -109,7 +109,7 @@
             return
         if phase not in _NEXT[self.phase]:
             raise RuntimeError(f"{self.phase} -> {phase}")
-        log.info("archive: %s", phase.value)
+        log.info("archive phase changed phase=%s", phase.value)
         self.phase = phase
 
     async def run(self) -> None:
@@ -122,10 +122,10 @@
                     yielded = True
                 await self._step()
             except RevisionTooOldError:
-                log.warning("archive: changes were missed, reading again")
+                log.warning("archive missed changes, reading all records again")
                 self._advance(FollowerPhase.READING)
             except StoreUnavailableError as err:
-                log.info("archive: %s", err)
+                log.info("archive cannot reach the state service error=%s", err)
                 await curio.sleep(AGAIN_S)
 
     async def _step(self) -> None:
@@ -208,7 +208,7 @@
         self._log = ChangeLog(self._root, point)
         self.point, self._revision = point, revision
         self.counts.snapshots += 1
-        log.info("archive: snapshot of %d records at revision %d", len(point.records), point.revision)
+        log.info("archive snapshot written records=%d revision=%d", len(point.records), point.revision)
 
     # Following
 
@@ -312,7 +312,7 @@
     def _seal(self, reason: str) -> None:
         """Nothing more is taken into this history's archive."""
         assert self._history is not None
-        log.warning("archive: history %s is over: %s", self._history.name, reason)
+        log.warning("archive history sealed history=%s reason=%s", self._history.name, reason)
         self._published, self._publish_at = 0, 0.0
         self._advance(FollowerPhase.SEALED)
 
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -80,7 +80,7 @@
                 if final is not None:
                     alone, more = self._final_writes(job_id, final)
                     await self._commit_ends(alone, more, [job_id])
-        log.debug("%d jobs end: %s", len(refs), result.status.value)
+        log.debug("job ends committed count=%d status=%s", len(refs), result.status.value)
 
     def final_record(self, job_id: str) -> FinalRecord | None:
         """The standing of a job that is over, or None."""
--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -80,11 +80,13 @@
     def _differs(self, job_id: str, job: JobView | None, charged: int) -> None:
         view = self._view
         booked = job.charged if job is not None else 0
-        view.ledger.violations.record(f"{job_id} is charged with {booked} tasks, and has {charged} on record")
+        view.ledger.violations.record(
+            f"job charge differs from its records job={job_id} charged={booked} recorded={charged}"
+        )
         view.rebook_job(job_id)
         team = view.jobs[job_id].team
         self._differed.add(team)
-        view.ledger.suspend(team, "its charges were not those on record")
+        view.ledger.suspend(team, "charges differed from the records")
 
     def _check_totals(self) -> None:
         view = self._view
@@ -96,8 +98,8 @@
             fresh, kept = Charge(cpus[team], gpus[team]), view.ledger.recorded(team)
             if fresh != kept:
                 view.ledger.violations.record(
-                    f"team {view.quotas[team].name} is charged with {kept}, its jobs with {fresh}"
+                    f"team total differs from its jobs team={view.quotas[team].name} charged={kept} recorded={fresh}"
                 )
                 view.ledger.adjust(team, fresh - kept)
                 self._differed.add(team)
-                view.ledger.suspend(team, "its total was not that of its jobs")
+                view.ledger.suspend(team, "total differed from its jobs")
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -101,7 +101,7 @@
         except curio.CancelledError:
             raise
         except Exception:  # must not end the controller
-            log.exception("admission failed")
+            log.exception("array admission failed")
         finally:
             self._admitting = False
 
@@ -211,7 +211,7 @@
         if result.status is TransactionStatus.COMMITTED:
             await self._notify_peers()
         elif result.status is not TransactionStatus.NOT_EXECUTED:
-            log.info("leader transaction: %s %s", result.status.value, result.failed_keys)
+            log.info("leader transaction not committed status=%s conflicts=%s", result.status.value, result.failed_keys)
 
     def _reserve(self, batch: _Batch, term: int) -> list[QuotaReservation]:
         """Charges the batch to its teams; what a limit does not allow any more leaves the batch, to be planned again."""
@@ -230,12 +230,13 @@
     def _log_admission(self, change: JobAdmission, term: int, admitted: bool) -> None:
         """By which totals it was decided. A refused one may be planned again in every round, so that is for debugging."""
         level = logging.INFO if admitted else logging.DEBUG
+        event = "tasks admitted" if admitted else "admission refused by quota"
         if log.isEnabledFor(level):
             team = self.view.jobs[change.job].team
             log.log(
                 level,
-                "%s %d tasks of %s: term %d, revision %d, team %s: %s",
-                "admitting" if admitted else "not admitting",
+                "%s count=%d job=%s term=%d revision=%d team=%s %s",
+                event,
                 change.tasks,
                 change.job,
                 term,
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -166,7 +166,7 @@
             self._send_notifications,
             self._share_rates,
         ]
-        log.info("controller %s starts (%s)", platform.node, self.process_incarnation)
+        log.info("controller starting node=%s incarnation=%s", platform.node, self.process_incarnation)
         async with curio.TaskGroup(wait=any) as group:
             for task in tasks:
                 await group.spawn(self._guarded, task)
@@ -176,7 +176,7 @@
                     await group.cancel_remaining()
                     return
                 if done.exception and not isinstance(done.exception, curio.CancelledError):
-                    log.error("a task ended: %r", done.exception)
+                    log.error("controller task ended error=%r", done.exception)
                     raise done.exception
 
     @staticmethod
@@ -189,7 +189,7 @@
             except (curio.CancelledError, OSError):
                 raise
             except Exception:
-                log.exception("%s failed; it begins again", getattr(task, "__qualname__", task))
+                log.exception("controller task failed, restarting it name=%s", getattr(task, "__qualname__", task))
                 await curio.sleep(AGAIN_S)
 
     async def _start(self) -> None:
@@ -202,7 +202,7 @@
                 await self.membership.claim()
                 break
             except StoreUnavailableError as err:
-                log.info("start: %s", err)
+                log.info("start waits for the state service error=%s", err)
                 await curio.sleep(0.2)
         async with curio.TaskGroup(wait=any) as group:
             for task in (self.replica.run_watch, self.membership.run, self._run_leader):
@@ -341,7 +341,7 @@
         while True:
             resumed_at = self.stall_detector.resumed_at
             if self.stall_detector.check(time.monotonic()) != resumed_at:
-                log.warning("this process stood still; it reads the state service before it goes on")
+                log.warning("process stall detected, reading the state service before commands resume")
                 await curio.spawn(self._sync, daemon=True)
             await self.replica.notify()
             due = time.monotonic() + CHECK_INTERVAL_S
--- a/spurarch/coordination/fleet/quota_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -49,8 +49,8 @@
 
     def __str__(self) -> str:
         """As it stands in lines of log."""
-        text = f"{self.cpus / UNITS:g} CPUs"
-        return f"{text}, {self.gpus / UNITS:g} GPUs" if self.gpus else text
+        text = f"{self.cpus / UNITS:g}cpu"
+        return f"{text},{self.gpus / UNITS:g}gpu" if self.gpus else text
 
 
 NO_CHARGE = Charge()
@@ -149,20 +149,22 @@
             cpus_rose_beyond = 0 < most.cpus < total.cpus > before.cpus
             gpus_rose_beyond = 0 < most.gpus < total.gpus > before.gpus
             if whole and (cpus_rose_beyond or gpus_rose_beyond):
-                self.violations.record(f"team {self._name(team)} rose beyond its limit: {self.describe(team)}")
+                self.violations.record(
+                    f"team total rose beyond its quota team={self._name(team)} {self.describe(team)}"
+                )
         self._before.clear()
 
     def suspend(self, team: int, reason: str) -> None:
         """Admits nothing more to a team whose charges are not known for certain; what runs goes on."""
         if team not in self._suspended:
-            log.error("nothing more is admitted to team %s: %s", self._name(team), reason)
+            log.error("team admission suspended team=%s reason=%s", self._name(team), reason)
         self._suspended.add(team)
 
     def resume(self, team: int) -> None:
         """The team's charges are known again."""
         if team in self._suspended:
             self._suspended.remove(team)
-            log.info("team %s is admitted again", self._name(team))
+            log.info("team admission resumed team=%s", self._name(team))
 
     def _name(self, team: int) -> str:
         limit = self._teams.get(team)
@@ -177,8 +179,8 @@
         """The teams that are charged for anything, those closest to their limits first, for a line of log."""
         used = [team for team in self._teams if self.recorded(team) != NO_CHARGE or self.reserved(team) != NO_CHARGE]
         used.sort(key=self._cpus_left)
-        shown = [f"{self._name(team)} {self.describe(team)}" for team in used[:TEAMS_SHOWN]]
-        return "; ".join(shown) if shown else "none is charged"
+        shown = [f"team={self._name(team)} {self.describe(team)}" for team in used[:TEAMS_SHOWN]]
+        return "; ".join(shown) if shown else "none charged"
 
     def _cpus_left(self, team: int) -> float:
         most = self._quota(team).cpus
@@ -186,7 +188,7 @@
 
     def describe(self, team: int) -> str:
         """The team's totals and limit, for a line of log."""
-        return f"charged {self.recorded(team)}, reserved {self.reserved(team)}, limit {self._quota(team)}"
+        return f"charged={self.recorded(team)} reserved={self.reserved(team)} quota={self._quota(team)}"
 
     def _quota(self, team: int) -> Charge:
         """The team's limit; nothing of a resource stands for none."""
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -95,7 +95,7 @@
         self._next_job, self._shortages_so_far = None, []
         self.view.update()
         self._audit.check_all()
-        log.info("term %d begins, by records of revision %d", term, self.replica.state.revision)
+        log.info("leader term confirmed term=%d revision=%d", term, self.replica.state.revision)
 
     async def _round(self, term: int) -> None:
         now = time.monotonic()
@@ -154,14 +154,14 @@
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
-                log.exception("ends of jobs failed")
+                log.exception("job end round failed")
 
     def _log_teams(self, now: float) -> None:
         if now >= self._next_log:
             self._next_log = now + LOG_EVERY_S
             ledger = self.view.ledger
             log.info(
-                "teams: term %s, revision %d, %d violations: %s",
+                "team quota totals term=%s revision=%d violations=%d %s",
                 self._term,
                 self.replica.state.revision,
                 ledger.violations.count,
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -163,7 +163,7 @@
             await curio.sleep(self.ttl_s / 4)
             lease = self._lease  # the member's own write may have found it ended meanwhile
             if lease is not None and await self.replica.store.extend(lease) is False:
-                log.info("the lease of this controller ran out")
+                log.info("membership lease expired node=%s", self.node)
                 self._lease = None
 
     async def run(self) -> None:
@@ -214,7 +214,7 @@
                 urgency=Urgency.MEMBERSHIP,
             )
             if result.status is TransactionStatus.COMMITTED:
-                log.info("leading: term %d, by records of revision %d", result.revision, self.replica.state.revision)
+                log.info("leadership acquired term=%d revision=%d", result.revision, self.replica.state.revision)
             elif result.status is TransactionStatus.NO_LEASE:
                 self._lease = None
 
@@ -240,7 +240,7 @@
         ).items():
             partition = state.partitions.get(zone)
             record = PartitionRecord(node, partition.epoch + 1 if partition else 1)
-            log.info("partition %s goes to %s (epoch %d)", zone, node, record.epoch)
+            log.info("partition assigned partition=%s node=%s epoch=%d", zone, node, record.epoch)
             await self.replica.commit(
                 [Write(records.PARTITION + zone, record)],
                 guards=[records.LEADER],
@@ -260,4 +260,4 @@
                     [Write(records.PARTITION + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
                 )
                 if result.status is TransactionStatus.COMMITTED:
-                    log.info("holding partition %s (epoch %d)", zone, record.epoch)
+                    log.info("partition claimed partition=%s epoch=%d", zone, record.epoch)
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -4,7 +4,7 @@
 
 from spurarch.protocol import wire
 from spurarch.storage import records
-from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry
+from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry, TaskState
 from spurarch.storage.replica import ClusterState
 
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = (
@@ -33,7 +33,7 @@
     return is_live(state, job) and state.jobs[job].spec.kind == wire.GANG
 
 
-_BEFORE = {
+_BEFORE: dict[int, set[TaskState]] = {
     records.RETURNED: {records.FREE, records.ASSIGNED},
     records.ENDED: {records.ASSIGNED},
     records.FREE: {records.ASSIGNED},
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -85,7 +85,7 @@
         try:
             status, answer = await client.request("POST", wire.PATH_COMMANDS, wire.encode(sent), DIRECT_S)
         except NoAnswerError as err:
-            log.debug("no answer from %s: %s", machine.name, err)
+            log.debug("direct command unanswered machine=%s error=%s", machine.name, err)
             partition.on_direct_failure(machine, sent, err.sent)
             return
         heartbeat = None
@@ -93,7 +93,7 @@
             try:
                 heartbeat = wire.heartbeat_decoder.decode(answer)
             except msgspec.DecodeError as err:
-                log.warning("unreadable answer from %s: %s", machine.name, err)
+                log.warning("unreadable worker answer machine=%s error=%s", machine.name, err)
         partition.on_direct_response(machine, sent, heartbeat, time.monotonic())
         if partition.terminal_attempts:
             await owned.wakeup.set()
--- a/spurarch/coordination/partition/failures.py
+++ b/spurarch/coordination/partition/failures.py
@@ -47,7 +47,7 @@
         if attempt.exit_reason == wire.REASON_ERROR:
             self._attribute_to_machine(machine, backoff)
             backoff.record_failure(now)
-            log.info("task %s/%d failed on %s (attempt %d)", *attempt.key, machine.name, attempt.number)
+            log.info("task failed job=%s task=%d machine=%s attempt=%d", *attempt.key, machine.name, attempt.number)
             if machine.task_failures >= FAULTS_BEFORE_PAUSE:
                 machine.quarantined_until = now + FAULT_PAUSE_S * machine.task_failures
         elif attempt.exit_reason in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -84,7 +84,7 @@
             return
         if state not in _NEXT[self.state]:
             return  # an older report of a member; the gang itself never goes back
-        log.debug("gang %s, attempt %d: %s", self.job, self.attempt, state.value)
+        log.debug("gang state changed job=%s attempt=%d state=%s", self.job, self.attempt, state.value)
         self.state = state
 
     def _observed(self) -> GangState:
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -191,7 +191,7 @@
     async def _update_owned(self, now: float) -> None:
         for zone in list(self.owned):
             if self.membership.owned_record(zone) is None:
-                log.info("partition %s is no longer owned here", zone)
+                log.info("partition ownership lost partition=%s", zone)
                 await self.owned.pop(zone).wakeup.set()
         self._distribute_changes()
         for zone in self.deployment.zones:
@@ -217,7 +217,7 @@
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
-                log.exception("round of partition %s failed", zone)
+                log.exception("partition round failed partition=%s", zone)
                 await curio.sleep(TICK_S)
             await curio.sleep(self._lag.pause_s(PAUSE_S))
 
@@ -240,7 +240,7 @@
             except curio.CancelledError:
                 raise
             except Exception:  # must not end the controller
-                log.exception("commands of partition %s failed", owned.partition.zone)
+                log.exception("partition commands failed partition=%s", owned.partition.zone)
 
     def _stop_jobs_cancelled_by_peers(self, owned: OwnedPartition) -> None:
         """Cancels that peers passed on while the state service is out of reach."""
@@ -295,7 +295,7 @@
             placed = owned.placer.run_round(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
             if self.permissions.records_are_fresh(now):
                 for attempt in placed.preempt:
-                    log.info("preempting %s/%d on %s", *attempt.key, attempt.machine)
+                    log.info("preempting task job=%s task=%d machine=%s", *attempt.key, attempt.machine)
                     partition.request_stop(attempt, self._grace(attempt))
             for allocation, entries in placed.entries.items():
                 changes.setdefault(allocation, {}).update(entries)
@@ -332,14 +332,21 @@
 
         result = refine(partition, self.view, self.tuning, now, self._random, self._round_budget().spent)
         if result.empty is not None:
-            log.info("emptying %s", result.empty)
+            log.info("draining machine for consolidation machine=%s", result.empty)
             partition.machines[result.empty].draining = True
         for attempt, target in result.moves:
-            log.info("moving %s/%d from %s to %s", *attempt.key, attempt.machine, target)
+            log.info(
+                "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
+            )
             owned.placer.move_targets[attempt.key] = target, now + MOVE_S
             partition.request_stop(attempt, self._grace(attempt))
         if result.search is not None and result.search.moves:
-            log.info("search of %s: cost %.4f to %.4f", partition.zone, result.search.before, result.search.after)
+            log.info(
+                "placement search improved partition=%s cost_before=%.4f cost_after=%.4f",
+                partition.zone,
+                result.search.before,
+                result.search.after,
+            )
 
     def _grace(self, attempt: TaskAttempt) -> float:
         job = self.replica.state.jobs.get(attempt.allocation.job)
@@ -397,7 +404,7 @@
         except curio.CancelledError:
             raise
         except Exception:  # must not end the controller
-            log.exception("transactions of partition %s failed", owned.partition.zone)
+            log.exception("partition transactions failed partition=%s", owned.partition.zone)
         finally:
             owned.placer.pending_changes = {}
 
@@ -482,7 +489,12 @@
             for change in batch:
                 await self._commit_batch(partition, [change], urgency)
         elif result.status not in (TransactionStatus.COMMITTED, TransactionStatus.NOT_EXECUTED):
-            log.info("owner transaction for %s: %s %s", partition.zone, result.status.value, result.failed_keys)
+            log.info(
+                "owner transaction not committed partition=%s status=%s conflicts=%s",
+                partition.zone,
+                result.status.value,
+                result.failed_keys,
+            )
 
     async def _send(self, owned: OwnedPartition) -> None:
         """Starts and stops go straight to the worker, by what the records say now."""
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -315,11 +315,11 @@
         """
         self.now = now
         if heartbeat.machine in self._released:
-            self._log_rejected_heartbeat(heartbeat, "it was returned")
+            self._log_rejected_heartbeat(heartbeat, "machine was released")
             return None
         if heartbeat.fencing_token > self.lowest_token + self._token_counter:
             # A later owner has spoken to this worker, or the report makes no sense.
-            self._log_rejected_heartbeat(heartbeat, "its token is not ours")
+            self._log_rejected_heartbeat(heartbeat, "fencing token is not ours")
             return None
         machine = self._machine(heartbeat)
         if machine.state is MachineState.RELEASED or heartbeat.incarnation <= machine.expired_incarnation:
@@ -344,7 +344,7 @@
         if heartbeat.machine not in self._rejected_machines and len(self._rejected_machines) < REJECTED_MACHINES_KEPT:
             self._rejected_machines.add(heartbeat.machine)
             log.info(
-                "report of %s (session %d, %d) not taken: %s",
+                "heartbeat rejected machine=%s incarnation=%d sequence=%d reason=%s",
                 heartbeat.machine,
                 heartbeat.incarnation,
                 heartbeat.seq,
@@ -367,7 +367,7 @@
         if machine.token_offered_at is not None:
             # Workers show a higher token within a few reports; one that is late by more than that is deaf.
             if not machine.responses_lost and now - machine.token_offered_at > self.lease_s * RESPONSES_LOST_LEASES:
-                log.info("machine %s speaks but shows nothing of our answers", machine.name)
+                log.info("machine does not acknowledge our token machine=%s", machine.name)
                 machine.responses_lost = True
         elif now - (machine.acknowledged_at or now) > self.lease_s * PROBE_LEASES:
             machine.token_counter = self._next_token_counter()
@@ -454,7 +454,7 @@
         """A state that this version does not know teaches nothing; workers may be newer than controllers."""
         if state not in self._unknown_states and len(self._unknown_states) < REJECTED_MACHINES_KEPT:
             self._unknown_states.add(state)
-            log.warning("workers report the unknown task state %r", state)
+            log.warning("unknown task state reported state=%r", state)
 
     def _mark_absent_as_gone(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         """A task that has to go and is not in the report is off the machine, if no start can still be on its way."""
@@ -522,7 +522,9 @@
         if not self.may_start():
             return False
         if self._attempts_by_allocation.get(attempt.allocation, {}).get(attempt.index) is not attempt:
-            self._violations.record(f"{attempt.key} would start on {attempt.machine} without a task on record")
+            self._violations.record(
+                f"start without a recorded task job={attempt.allocation.job} task={attempt.index} machine={attempt.machine}"
+            )
             return False
         gang = self.gangs.get(attempt.allocation.job)
         return gang is None or gang.startable
@@ -627,7 +629,9 @@
         for machine in self.machines.values():
             if machine.lease_expired(now, self.lease_s):
                 log.info(
-                    "machine %s is lost: silent for %.1f s", machine.name, now - (machine.last_heartbeat_at or now)
+                    "machine lease expired machine=%s silent_seconds=%.1f",
+                    machine.name,
+                    now - (machine.last_heartbeat_at or now),
                 )
                 machine.expired_incarnation = machine.incarnation
                 machine.transition(MachineState.LEASE_EXPIRED)
--- a/spurarch/coordination/runtime/invariants.py
+++ b/spurarch/coordination/runtime/invariants.py
@@ -21,4 +21,4 @@
         self.count += 1
         if self.count <= LOGGED_MOST:
             self.messages.append(text)
-            log.error("violated: %s (%d since the start)", text, self.count)
+            log.error("invariant violated count=%d detail=%s", self.count, text)
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -125,12 +125,12 @@
             await curio.spawn(self._return_orphans, dict(list(left.items())[:RETURN_AT_ONCE]), daemon=True)
 
     async def _return_orphans(self, zones: dict[str, str]) -> None:
-        log.info("returning %s: cancelled tasks may be on them, and nobody holds their part", " ".join(zones))
+        log.info("releasing unowned machines with cancelled tasks machines=%s", ",".join(zones))
         try:
             await self.cloud.release(list(zones), lambda: time.monotonic() - self.replica.synced_at > CUT_S)
             self._remember_released(zones)
         except (CloudError, NoCapacityError) as err:
-            log.info("return of %d machines: %s", len(zones), err)
+            log.info("machine release failed count=%d error=%s", len(zones), err)
         finally:
             self._orphans_under_way = False
 
@@ -141,7 +141,7 @@
 
     async def _return_overdue(self, owned: OwnedPartition, machines: list[Machine]) -> None:
         partition = owned.partition
-        log.info("returning %s: cancelled tasks may be on them", " ".join(m.name for m in machines))
+        log.info("releasing machines with overdue cancelled tasks machines=%s", ",".join(m.name for m in machines))
 
         def still() -> bool:
             now = time.monotonic()
@@ -224,10 +224,10 @@
                 blind and not partition.unreachable
             ):
                 self.membership.mark_isolated(zone, now)
-                log.warning("most machines of %s are silent: another controller should take the part", zone)
+                log.warning("one-way partition suspected, asking for another owner partition=%s", zone)
             elif not partition.unreachable and self.unregistered_by_peer:
                 partition.unreachable = True
-                log.warning("nobody hears the machines of %s", zone)
+                log.warning("zone unreachable from all controllers partition=%s", zone)
         self.membership.set_unreachable(zone, partition.unreachable)
 
     async def _release_owned(self, owned: OwnedPartition, machines: list[Machine]) -> None:
@@ -248,8 +248,8 @@
             if not machines:
                 return
             for machine in machines:
-                state = "deaf" if machine.responses_lost else machine.state.value
-                log.info("returning %s (%s, %d tasks)", machine.name, state, len(machine.attempts))
+                state = "responses-lost" if machine.responses_lost else machine.state.value
+                log.info("releasing machine machine=%s state=%s tasks=%d", machine.name, state, len(machine.attempts))
             # The line in front of the cloud may be long, and this process may stand still in it.
             await self._release(
                 owned,
@@ -264,7 +264,7 @@
         try:
             await self.cloud.release([m.name for m in machines], still)
         except (CloudError, NoCapacityError) as err:
-            log.info("return of %d machines: %s", len(machines), err)
+            log.info("machine release failed count=%d error=%s", len(machines), err)
             return
         for machine in machines:
             owned.partition.on_released(machine.name)
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -114,7 +114,7 @@
                         list_at = now
                     await self._request_missing()
             except (CloudError, NoCapacityError) as err:
-                log.info("cloud: %s", err or "no capacity")
+                log.info("cloud call failed error=%s", err or "no capacity")
             except curio.CancelledError:
                 raise
             except Exception:  # a failure here must not end the controller
@@ -150,7 +150,7 @@
             if now - booting.since > NEVER_UP_LEAST_S * 2:
                 del self.booting[name]
         if useless:
-            log.info("returning machines that never came up: %s", " ".join(useless[:100]))
+            log.info("releasing machines that never became ready machines=%s", ",".join(useless[:100]))
             await self._cloud.release(useless[:100], self._may_act)
 
     async def _request_missing(self) -> None:
@@ -182,17 +182,17 @@
                 names = await self._cloud.scale_out(request, self._may_act)
                 break
             except NoCapacityError:
-                log.info("no capacity: %s", kind)
+                log.info("cloud has no capacity kind=%s", kind)
                 self._exhausted_until[kind] = time.monotonic() + self._tuning.capacity_backoff_s
                 return
             except CloudError as err:
-                log.info("rental %s: %s", request.request_id, err)
+                log.info("scale out request failed request=%s error=%s", request.request_id, err)
                 if not err.outcome_unknown:
                     return
         else:
             return  # it may still be carried out: the machines then show in the list and in reports
         now = time.monotonic()
-        log.info("rented %d of %d %s", len(names), order.count, kind)
+        log.info("scale out granted count=%d requested=%d kind=%s", len(names), order.count, kind)
         for name in names:
             self.booting[name] = BootingMachine(kind, now)
         if len(names) < order.count:
--- a/spurarch/recovery/coverage.py
+++ b/spurarch/recovery/coverage.py
@@ -42,4 +42,7 @@
     def _note_away(self, away: bool) -> None:
         if away != self._away:
             self._away = away
-            log.warning("the archive %s", "is away: it covers no new changes" if away else "covers new changes again")
+            if away:
+                log.warning("archive unavailable, no new changes are covered")
+            else:
+                log.warning("archive available, changes are covered again")
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -122,7 +122,7 @@
         evidence = await self._collect(lost, gathered)
         rebuilt = await self._merge(evidence)
         log.info(
-            "rebuilt: %d jobs, %d final standings, %d in doubt, %d set aside, %s",
+            "records rebuilt jobs=%d final=%d in_doubt=%d set_aside=%d certainty=%s",
             len(rebuilt.jobs),
             len(rebuilt.finals),
             len(rebuilt.unresolved),
@@ -135,7 +135,7 @@
         if _NEXT[self.step] is not step:
             raise RuntimeError(f"{self.step} -> {step}")
         self.step = step
-        log.info("rebuilding %s: %s", self._name, step.value)
+        log.info("rebuild phase changed history=%s phase=%s", self._name, step.value)
 
     async def _commit(
         self, changes: list[wire.Put | wire.Delete], guards: list[wire.Guard] | None = None, step: Step | None = None
@@ -243,7 +243,7 @@
                 return source
             await self._heartbeat_if_due()
             await curio.sleep(PAUSE_S)
-        log.warning("the archive of history %s can't be had", history)
+        log.warning("archive unavailable for rebuild history=%s", history)
         return None
 
     async def _refuse_outdated(self, aware: set[str]) -> None:
@@ -333,7 +333,7 @@
         try:
             machines = await self._context.cloud.machines()
         except CloudError as err:
-            log.info("cloud: %s", err)
+            log.info("cloud machine list failed during rebuild error=%s", err)
             return False
         needed.update(machine.id for machine in machines if machine.state != wire.FAILED)
         return True
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -127,7 +127,7 @@
     def _advance(self, phase: ServicePhase) -> None:
         if phase not in _NEXT[self.phase]:
             raise RuntimeError(f"{self.phase} -> {phase}")
-        log.info("recovery: %s", phase.value)
+        log.info("recovery phase changed phase=%s", phase.value)
         self.phase = phase
 
     @property
@@ -148,10 +148,10 @@
             try:
                 await self._look_for_history()
             except StoreUnavailableError as err:
-                log.info("start: %s", err)
+                log.info("start waits for the state service error=%s", err)
             if self._guard.phase is HistoryPhase.UNKNOWN:
                 if not told:
-                    log.info("no history is in force yet; a new installation needs `spurarch recovery init`")
+                    log.info("no history yet, a new installation needs `spurarch recovery init`")
                     told = True
                 await curio.sleep(LOOK_S)
         return self._guard.is_open
@@ -163,7 +163,11 @@
             return
         history = decode_history(item.value)
         if history.installation != self._installation:
-            log.error("the state service holds installation %r, not %r", history.installation, self._installation)
+            log.error(
+                "state service holds another installation installation=%r expected=%r",
+                history.installation,
+                self._installation,
+            )
             await curio.sleep(REFUSED_PAUSE_S)
             return
         marker = await self._store.get(OPEN + history.name)
@@ -182,7 +186,11 @@
         others = await self._ask_others()
         archived = others.head.history if others.head is not None else None
         if archived is not None and archived.installation != self._installation:
-            log.error("the archive is of installation %r, not %r", archived.installation, self._installation)
+            log.error(
+                "archive holds another installation installation=%r expected=%r",
+                archived.installation,
+                self._installation,
+            )
         elif archived is not None:
             self._lose_known(archived, f"no history, the archive has {archived.name}")
             return
@@ -229,7 +237,7 @@
             await curio.sleep(LOOK_S)
             if self._suspicious:
                 await self._judge_suspicions()
-        log.warning("the state service lost its data: %s", self._guard.reason)
+        log.warning("state service data lost reason=%s", self._guard.reason)
         self._advance(ServicePhase.CLOSED)
         self._store.set_shares(REBUILD_SHARE, REBUILD_SHARE)
         reached = True  # only to log an outage once
@@ -238,7 +246,7 @@
                 await self._look_while_closed()
                 reached = True
             except StoreUnavailableError as err:
-                log.log(logging.INFO if reached else logging.DEBUG, "rebuilding: %s", err)
+                log.log(logging.INFO if reached else logging.DEBUG, "rebuild waits for the state service error=%s", err)
                 reached = False
             if not self._moved:
                 await curio.sleep(LOOK_S)
@@ -269,11 +277,11 @@
         try:
             history = await Rebuilding(self._context, self._claim, name, self._lost).run()
         except (ClaimLostError, RebuildRefusedError, StoreUnavailableError) as err:
-            log.warning("rebuilding %s ended: %s", name, err)
+            log.warning("rebuild abandoned history=%s error=%s", name, err)
             self._advance(ServicePhase.CLOSED)
             await curio.sleep(REFUSED_PAUSE_S if isinstance(err, RebuildRefusedError) else LOOK_S)
             return
-        log.warning("history %d (%s) is open", history.number, history.name)
+        log.warning("history opened number=%d history=%s", history.number, history.name)
         self._advance(ServicePhase.MOVED)
 
     def _own_source(self) -> Source | None:
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import enum
 from math import ceil
 from typing import Any, NamedTuple
 
@@ -19,7 +20,18 @@
 PARTITION, MEMBER, LEADER, MACHINE = "live/part/", "live/member/", "live/leader", "live/machine/"
 FINAL = "final/"
 
-FREE, ASSIGNED, ENDED, RETURNED = 0, 1, 2, 3
+
+class TaskState(enum.IntEnum):
+    """Where an admitted task stands, with the number that is stored."""
+
+    FREE = 0  # waits for a machine
+    ASSIGNED = 1  # has a machine
+    ENDED = 2
+    RETURNED = 3  # given back to the leader by its partition
+
+
+# Bound once: a member of an enum takes several times as long to look up, and decisions compare millions of them.
+FREE, ASSIGNED, ENDED, RETURNED = TaskState
 
 UNRESOLVED = "in doubt"  # state of a final record: the job is over or was lost, and an operator has to say which
 
@@ -54,7 +66,7 @@
     """One admitted task: free, assigned, ended, or returned to the leader."""
 
     index: int
-    state: int = FREE
+    state: int = FREE  # a number of `TaskState`; one that a later version writes stays readable
     attempt: int = 0
     machine: str = ""
     incarnation: int = 0
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -284,7 +284,7 @@
         self.state.consistent_from = max(first, page.revision)
         self.loaded = True
         log.info(
-            "read %d records in %d pages and %.2f s, revisions %d to %d",
+            "records read count=%d pages=%d seconds=%.2f first_revision=%d revision=%d",
             len(seen),
             pages,
             time.monotonic() - start,
@@ -320,7 +320,7 @@
             record = records.decode(key, value)
         except msgspec.DecodeError as err:
             if self.state.record_unreadable(key, records.team_of(key, value)):
-                log.error("unreadable record %s: %s", key, err)
+                log.error("unreadable record record=%s error=%s", key, err)
             return
         if record is not None:
             self.state.put(key, version, record)
@@ -359,12 +359,10 @@
                 self.reachable = True
                 await curio.sleep(max(WATCH_PAUSE_S, 1 / (READS_SHARE * self.store.request_rate)))
             except RevisionTooOldError:
-                log.info(
-                    "changes since revision %d are not kept any more; all records are read again", self.state.revision
-                )
+                log.info("watch revision compacted, reading all records again revision=%d", self.state.revision)
                 self.loaded = False
             except StoreUnavailableError as err:
-                log.log(logging.INFO if self.reachable else logging.DEBUG, "watch: %s", err)
+                log.log(logging.INFO if self.reachable else logging.DEBUG, "state service unreachable error=%s", err)
                 self.reachable = False
                 await curio.sleep(0.3)
 
@@ -384,7 +382,7 @@
                 self.synced_at = max(self.synced_at, started)
                 batch.succeeded = True
             except (StoreUnavailableError, RevisionTooOldError) as err:
-                log.debug("sync: %s", err)
+                log.debug("freshness read failed error=%s", err)
             await batch.finished.set()
             await curio.sleep(max(SYNC_PAUSE_S, 1 / (READS_SHARE * self.store.request_rate)))
 
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -121,7 +121,7 @@
         if now - self._logged_at >= LOG_EVERY_S:
             span = now - self._logged_at
             log.info(
-                "state service: %.1f requests/s, %.1f changes/s of %.1f, %d refused, longest wait %.2f s",
+                "state service usage requests_per_second=%.1f changes_per_second=%.1f allowed_changes_per_second=%.1f refused=%d longest_wait_seconds=%.2f",
                 self._made[0] / span,
                 self._made[1] / span,
                 self._writes.rate,
@@ -156,7 +156,7 @@
         self._write_factor.decrease()
 
     def _record_throttled(self, target: str) -> None:
-        log.info("state service: over the rate")
+        log.info("state service rate limit exceeded")
         self._made[2] += 1
         self._request_factor.decrease()
         self._requests.penalize(time.monotonic())
@@ -309,7 +309,7 @@
             return TransactionResult(TransactionStatus.NOT_EXECUTED)
         if status == 400 and b"lease" in answer:
             return TransactionResult(TransactionStatus.NO_LEASE)
-        log.error("state service refused a transaction: %d %s", status, answer[:200])
+        log.error("state service refused transaction status=%d error=%s", status, answer[:200])
         return TransactionResult(TransactionStatus.INVALID)
 
     async def grant(self, ttl_s: float) -> int | None:
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -116,7 +116,7 @@
         except curio.CancelledError:
             raise
         except Exception:  # an unexpected error must not end the controller
-            log.exception("request failed: %s %s", request.method, request.target)
+            log.exception("request failed method=%s target=%s", request.method, request.target)
             return error_response(500, "internal error")
 
     async def _read(self, link: _ServerLink) -> Request | None:
--- a/spurarch/transport/sockets.py
+++ b/spurarch/transport/sockets.py
@@ -62,7 +62,7 @@
         try:
             await client(sock)
         except (OSError, curio.TaskTimeout) as err:
-            log.debug("connection ended: %r", err)
+            log.debug("connection ended error=%r", err)
         except curio.CancelledError:
             raise
         except Exception:  # whatever a client sends must not end the controller
@@ -91,5 +91,5 @@
             try:
                 await accept_one()
             except OSError as err:
-                log.warning("accept failed: %s", err)
+                log.warning("accept failed error=%s", err)
                 await curio.sleep(ACCEPT_PAUSE_S)
--- a/tests/sim/soak.py
+++ b/tests/sim/soak.py
@@ -34,7 +34,7 @@
 REPEATED_MOST = 200  # of the latest transactions
 SERIES = 4  # leaders that end one after the other
 FINAL = {"done", "aborted"}
-LOUD = ("Traceback", "violated:")  # in a controller's log
+LOUD = ("Traceback", "invariant violated")  # in a controller's log
 
 
 @dataclass
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -208,7 +208,7 @@
             heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
             part.on_heartbeat(heartbeat, float(seq))
     assert part.attempts["job-1", 0].phase is AttemptPhase.STARTING
-    assert [r.getMessage() for r in caplog.records].count("workers report the unknown task state 'dreaming'") == 1
+    assert [r.getMessage() for r in caplog.records].count("unknown task state reported state='dreaming'") == 1
 
 
 @given(st.integers(0, 300), st.integers(1, 60))
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -169,7 +169,7 @@
     )  # what the former table did with a new job
     view.ledger.adjust(0, Charge.of(-3.0, 0.0))
     audit.check_all()
-    assert "job-1 is charged with 0 tasks, and has 3 on record" in view.ledger.violations.messages[0]
+    assert "job charge differs from its records job=job-1 charged=0 recorded=3" in view.ledger.violations.messages[0]
     assert view.ledger.recorded(0) == Charge.of(9.0, 0.0), "booked anew"
     assert view.ledger.tasks_allowed(0, ONE, 1) == 0, "until a whole pass finds nothing"
     audit.check_all()
