--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -173,6 +173,14 @@
     return 0
 
 
+def _read_submission(path: str) -> bytes:
+    """A job's JSON from a file, or from standard input for `-`."""
+    if path == "-":
+        return sys.stdin.buffer.read()
+    with open(path, "rb") as file:
+        return file.read()
+
+
 def _request(args: argparse.Namespace) -> int:
     import curio
 
@@ -182,7 +190,7 @@
     body: bytes | None = None
     if args.command == "submit":
         try:
-            body = sys.stdin.buffer.read() if args.file == "-" else open(args.file, "rb").read()  # noqa: SIM115
+            body = _read_submission(args.file)
         except OSError as err:
             print(f"spurarch: {args.file}: {err.strerror}", file=sys.stderr)
             return USAGE
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "report"),
+    ("body", "heartbeat"),
     [
         (REPORT_BYTES, REPORT),
         (
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -141,7 +141,9 @@
     state = StateLimits(200.0, 80.0, 16.0, 24, NextStateLimits(value_kb=2.0))
     deployment = Deployment(["a"], [Team("t")], Workers(1.0, 10.0, 30.0), state, CloudLimits(8.0, 5.0))
     names = [f"machine-type-{n}" for n in range(types)]
-    view = SimpleNamespace(offers={name: wire.MachineType(name, 8.0, 0.0, 8.0, 1.0, 1.0, 1.0, ["a"]) for name in names})
+    view = SimpleNamespace(
+        machine_types={name: wire.MachineType(name, 8.0, 0.0, 8.0, 1.0, 1.0, 1.0, ["a"]) for name in names}
+    )
     users = JobApi(None, view, deployment, [], None, None)  # type: ignore[arg-type]
     spec = wire.submission_decoder.decode(msgspec.json.encode({**GOOD, "builds": names}))
     refusal = users._validate_feasible(spec)
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -31,7 +31,7 @@
 
 
 def test_fractional_sizes_added_and_taken_off_a_million_times_leave_nothing() -> None:
-    books, random = ledger(cpus_max=100.0), Random(1)
+    books, random = ledger(quota_cpus=100.0), Random(1)
     sizes = [
         Charge.of(random.choice([0.1, 0.3, 0.7, 1.1, 3.3]), random.choice([0.0, 0.1, 0.25])) for _ in range(500_000)
     ]
@@ -44,18 +44,18 @@
 
 
 def test_three_thirds_of_a_limit_fit_and_a_fourth_does_not() -> None:
-    assert ledger(cpus_max=0.3).tasks_allowed(0, Charge.of(0.1, 0.0), 9) == 3
+    assert ledger(quota_cpus=0.3).tasks_allowed(0, Charge.of(0.1, 0.0), 9) == 3
 
 
 @pytest.mark.parametrize(
     ("limits", "each", "allowed"),
     [
-        ({"cpus_max": 10.0}, Charge.of(3.0, 8.0), 3),
-        ({"gpus_max": 4.0}, Charge.of(3.0, 2.0), 2),
-        ({"cpus_max": 10.0, "gpus_max": 4.0}, Charge.of(1.0, 4.0), 1),
-        ({"cpus_max": 10.0, "gpus_max": 4.0}, Charge.of(1.0, 0.0), 10),
+        ({"quota_cpus": 10.0}, Charge.of(3.0, 8.0), 3),
+        ({"quota_gpus": 4.0}, Charge.of(3.0, 2.0), 2),
+        ({"quota_cpus": 10.0, "quota_gpus": 4.0}, Charge.of(1.0, 4.0), 1),
+        ({"quota_cpus": 10.0, "quota_gpus": 4.0}, Charge.of(1.0, 0.0), 10),
         ({}, Charge.of(1000.0, 1000.0), 50),
-        ({"cpus_max": 10.0}, Charge.of(0.0, 0.0), 50),
+        ({"quota_cpus": 10.0}, Charge.of(0.0, 0.0), 50),
     ],
 )
 def test_cpus_and_gpus_are_limited_each_by_itself(limits: dict[str, float], each: Charge, allowed: int) -> None:
@@ -63,7 +63,7 @@
 
 
 def test_a_limit_below_what_is_charged_admits_nothing_and_is_no_violation() -> None:
-    books = ledger(cpus_max=4.0)
+    books = ledger(quota_cpus=4.0)
     books.adjust(0, Charge.of(6.0, 0.0))
     books.check_quotas(whole=False)  # the first reading of all records
     assert books.tasks_allowed(0, ONE, 5) == 0
@@ -80,7 +80,7 @@
 
 
 def test_what_is_reserved_is_not_given_a_second_time() -> None:
-    books = ledger(cpus_max=4.0)
+    books = ledger(quota_cpus=4.0)
     first = books.reserve("job-1", 0, ONE, 3, 10)
     assert first is not None
     assert books.reserve("job-2", 0, ONE, 2, 10) is None
@@ -91,7 +91,7 @@
 
 
 def test_a_reservation_stands_until_the_copy_shows_what_became_of_it() -> None:
-    books = ledger(cpus_max=4.0)
+    books = ledger(quota_cpus=4.0)
     reservation = books.reserve("job-1", 0, ONE, 3, 10)
     assert reservation is not None
     books.release_resolved(1000, 10)
@@ -104,7 +104,7 @@
 
 
 def test_a_reservation_of_an_earlier_term_goes_with_a_copy_of_the_next() -> None:
-    books = ledger(cpus_max=4.0)
+    books = ledger(quota_cpus=4.0)
     assert books.reserve("job-1", 0, ONE, 3, 10) is not None
     books.release_resolved(20, 20)
     assert books.reserved(0) == NO_CHARGE
@@ -118,7 +118,7 @@
 )
 def test_whatever_happens_to_admissions_the_records_stay_within_the_limit(steps: list[tuple[str, int, int]]) -> None:
     """Transactions are carried out whenever they like; what the service holds never passes the limit."""
-    books, under_way, lost, held, revision = ledger(cpus_max=5.0), [], [], 0, 0
+    books, under_way, lost, held, revision = ledger(quota_cpus=5.0), [], [], 0, 0
     for what, which, tasks in steps:
         if what == "reserve" and (made := books.reserve(f"job-{which}", 0, ONE, tasks, 1)):
             under_way.append(made)
