--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -8,6 +8,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
+from spurarch.errors import SpurarchError
+
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -16,7 +18,7 @@
 Text = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\s/]+$")]
 
 
-class SettingsError(Exception):
+class SettingsError(SpurarchError):
     """A setting is missing, malformed or out of range; the message names file, field and reason."""
 
 
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -7,6 +7,7 @@
 
 import curio
 
+from spurarch.errors import SpurarchError
 from spurarch.transport import sockets
 from spurarch.transport.http_messages import (
     CONTINUE,
@@ -33,8 +34,8 @@
 SWEEP_S = 1.0
 
 
-class NoAnswerError(Exception):
-    """No usable answer came. `sent` is false only if the request certainly never left this process."""
+class NoAnswerError(SpurarchError):
+    """No usable answer came to a request. `sent` is false only if the request certainly never left this process."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -8,6 +8,8 @@
 
 import httptools
 
+from spurarch.errors import SpurarchError
+
 MAX_BODY = 64 * 1024  # bytes of a request's body
 MAX_HEAD = 16 * 1024  # bytes of a request's first line and headers
 REASONS = {
@@ -48,8 +50,8 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class MessageError(Exception):
-    """What arrived is no message that can be taken; `response` says so to its sender."""
+class MessageError(SpurarchError):
+    """What arrived is no acceptable HTTP request; `response` is the refusal for its sender."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
