--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -21,6 +21,7 @@
 from spurarch.archive.directory import ChangeLog, Point, write_snapshot
 from spurarch.archive.format import Entry
 from spurarch.protocol import wire
+from spurarch.storage.errors import RevisionTooOldError, StoreUnavailableError
 from spurarch.storage.history import (
     ARCHIVED,
     CURRENT,
@@ -38,7 +39,8 @@
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import FINAL, LIVE
 from spurarch.storage.seeds import SEED
-from spurarch.storage.store import RevisionTooOldError, Store, StoreUnavailableError, TransactionStatus
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionStatus
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -10,8 +10,8 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, FinalRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -17,8 +17,8 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, TaskEntry
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionResult, TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -15,10 +15,11 @@
 from spurarch.protocol import wire
 from spurarch.settings import Deployment
 from spurarch.storage import records
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import JobRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import StoreUnavailableError, TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 from spurarch.transport.http import Response
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -23,9 +23,10 @@
 from spurarch.settings import Platform, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.replica import Replica
-from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.storage.store import Store
 from spurarch.transport.http import Request, Response
 from spurarch.transport.network import Calls, Network
 
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -16,8 +16,8 @@
 from spurarch.protocol import wire
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey, AllocationRecord
-from spurarch.storage.replica import ClusterState
 
 IMAGES_KEPT = 32
 WAIT_OBJECTIVE = "wait"  # an aim on how soon the tasks of a class start
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -14,8 +14,8 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import LeaderRecord, MemberRecord, PartitionRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -4,8 +4,8 @@
 
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry, TaskState
-from spurarch.storage.replica import ClusterState
 
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = (
     1.5,
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -29,8 +29,8 @@
 from spurarch.storage.cloud import Cloud
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 from spurarch.transport.network import Network
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -17,8 +17,8 @@
 from spurarch.coordination.runtime.invariants import InvariantViolations
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey, AllocationRecord, MachineRecord, TaskEntry
-from spurarch.storage.replica import ClusterState
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -26,8 +26,8 @@
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
 from spurarch.storage.records import MachineRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/scaling/scale_in_candidates.py
+++ b/spurarch/coordination/scaling/scale_in_candidates.py
@@ -10,7 +10,7 @@
 from spurarch.coordination.partition.partition import Partition
 from spurarch.settings import Tuning, Workers
 from spurarch.storage import records
-from spurarch.storage.replica import ClusterState
+from spurarch.storage.cluster_state import ClusterState
 
 CUT_SILENCE_S = 2.5
 CUT_OFF_HEARTBEATS = 2.2
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -13,9 +13,11 @@
 from msgspec import Struct, field
 
 from spurarch.protocol import wire
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.history import CLAIM
 from spurarch.storage.rate_limits import Urgency
-from spurarch.storage.store import Store, StoreUnavailableError, TransactionResult, TransactionStatus
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 HEARTBEAT_S = 1.0
 FINISHED = "opened"  # the step of a rebuilding that is over
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -12,7 +12,8 @@
 from spurarch.recovery import operators
 from spurarch.recovery.operators import OperatorError
 from spurarch.settings import SettingsError, load_platform
-from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.storage.errors import StoreUnavailableError
+from spurarch.storage.store import Store
 from spurarch.transport.network import Network
 
 USAGE, FAILED = 2, 1
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -11,8 +11,8 @@
 from spurarch.protocol.recovery_messages import EvidencePage, EvidenceRequest, StoredRecord
 from spurarch.recovery.evidence import Source, SourceKind
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.history import PACKED, HistoryRecord
-from spurarch.storage.replica import ClusterState
 from spurarch.storage.seeds import SEED
 from spurarch.storage.store import Store
 from spurarch.transport.http import NoAnswerError
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -28,7 +28,8 @@
 )
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import FinalRecord
-from spurarch.storage.store import Store, TransactionStatus
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionStatus
 
 PURGE_AT_ONCE = 4  # no state service allows fewer changes in a transaction
 
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -37,9 +37,10 @@
 from spurarch.recovery.rebuild import RebuildContext, Rebuilding, RebuildRefusedError
 from spurarch.settings import Platform, Tuning
 from spurarch.storage.cloud import Cloud
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.history import CURRENT, OPEN, HistoryGuard, HistoryPhase, HistoryRecord, decode_history
 from spurarch.storage.replica import Replica
-from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.storage.store import Store
 from spurarch.transport.network import Calls, Network
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/spurarch/storage/cluster_state.py
@@ -0,0 +1,203 @@
+"""The records of the cluster in memory, indexed the ways in which they are asked for.
+
+Every change carries the revision of the state service at which it was made. A change that is not newer than what is
+known is ignored, so changes may arrive from several watches and from own transactions in any order.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections import OrderedDict, defaultdict
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from spurarch.protocol import wire
+from spurarch.storage import records
+from spurarch.storage.records import (
+    AdmissionRecord,
+    AllocationKey,
+    AllocationRecord,
+    FinalRecord,
+    JobRecord,
+    LeaderRecord,
+    MachineRecord,
+    MemberRecord,
+    PartitionRecord,
+    Record,
+)
+from spurarch.storage.transaction import Write
+
+if TYPE_CHECKING:
+    from spurarch.storage.seeds import Seeds
+
+log = logging.getLogger(__name__)
+
+FINALS_KEPT = 20_000
+
+
+@dataclass(slots=True)
+class VersionedRecord:
+    """A record and the revision of its last change."""
+
+    version: int
+    record: Record
+
+
+class ClusterState:
+    """The records at `revision`, with indexes. Does no I/O, except for logging."""
+
+    def __init__(self) -> None:
+        self.entries: dict[str, VersionedRecord] = {}
+        self.jobs: dict[str, JobRecord] = {}
+        self.admissions: dict[str, AdmissionRecord] = {}
+        self.allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)  # by job
+        self.zone_allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)
+        self.partitions: dict[str, PartitionRecord] = {}
+        self.members: dict[str, MemberRecord] = {}
+        self.machines: dict[str, dict[str, MachineRecord]] = defaultdict(dict)  # by zone
+        self.leader: LeaderRecord | None = None
+        self.gangs = 0  # jobs whose tasks start together
+        self.finals: OrderedDict[str, FinalRecord] = OrderedDict()
+        self.revision = 0
+        self.consistent_from = 0.0  # the revision from which on this is what the service held at one moment
+        self.unreadable: dict[str, str | None] = {}  # by key; of jobs, the team if that much can be told
+        self.seeds: Seeds | None = None  # shared values that were not unpacked yet; only in a rebuilt history
+        self._deleted: dict[str, int] = {}  # by key, the revision of a deletion that is newer than `revision`
+        self._subscribers: list[dict[str, None]] = []
+
+    def subscribe(self) -> dict[str, None]:
+        """Returns a mapping that collects the keys that change, in order, for the subscriber to empty.
+
+        It begins with all keys. The order is kept so that equal changes lead to equal decisions.
+        """
+        changed_keys: dict[str, None] = dict.fromkeys(self.entries)
+        self._subscribers.append(changed_keys)
+        return changed_keys
+
+    @property
+    def consistent(self) -> bool:
+        """Whether all records are of one revision, and not of pages that were read one after the other."""
+        return self.revision >= self.consistent_from
+
+    def version(self, key: str) -> int:
+        """The revision of a key's last change; 0 if it does not exist."""
+        entry = self.entries.get(key)
+        return entry.version if entry else 0
+
+    def put(self, key: str, version: int, record: Record) -> None:
+        """Adds or replaces a record unless a newer change of its key is known."""
+        if version <= self.version(key) or version <= self._deleted.get(key, 0):
+            return
+        if isinstance(record, FinalRecord):
+            self.finals[key[len(records.FINAL) :]] = record
+            while len(self.finals) > FINALS_KEPT:
+                self.finals.popitem(last=False)
+            return
+        self.unreadable.pop(key, None)
+        self.entries[key] = VersionedRecord(version, record)
+        self._index(key, record)
+        self._mark_changed(key)
+
+    def put_encoded(self, key: str, version: int, value: msgspec.Raw) -> None:
+        """Decodes a value and puts its record; one that can't be decoded is kept in `unreadable` and logged once."""
+        try:
+            record = records.decode(key, value)
+        except msgspec.DecodeError as err:
+            if self._record_unreadable(key, records.team_of(key, value)):
+                log.error("unreadable record record=%s error=%s", key, err)
+            return
+        if record is not None:
+            self.put(key, version, record)
+
+    def _record_unreadable(self, key: str, team: str | None) -> bool:
+        """Records that the value of a key can't be decoded; True if that was not known."""
+        new = key not in self.unreadable
+        self.unreadable[key] = team
+        if new:
+            self._mark_changed(key)
+        return new
+
+    def delete(self, key: str, version: int) -> None:
+        """Deletes a record unless its key was written after the revision `version`."""
+        if key in self.unreadable:
+            del self.unreadable[key]
+            self._mark_changed(key)
+        entry = self.entries.get(key)
+        if entry is not None and entry.version > version:
+            return
+        if version > self.revision:
+            # A watch may deliver an older change of the key after the deletion by our own transaction.
+            self._deleted[key] = version
+        if entry is not None:
+            del self.entries[key]
+            self._unindex(key, entry.record)
+            self._mark_changed(key)
+
+    def apply_commit(self, writes: list[Write], revision: int) -> None:
+        """Applies a transaction of this controller that was committed at a revision.
+
+        A watch may have delivered it already, together with later changes of the same keys. Applying it again would
+        restore a key that another controller has deleted since, and every later transaction on that key would fail.
+        """
+        if revision <= self.revision:
+            return
+        for write in writes:
+            if write.record is None:
+                self.delete(write.key, revision)
+            else:
+                self.put(write.key, revision, write.record)
+
+    def advance(self, revision: int) -> None:
+        """Records that all changes up to a revision were applied."""
+        self.revision = max(self.revision, revision)
+        if self._deleted:
+            self._deleted = {k: v for k, v in self._deleted.items() if v > self.revision}
+
+    def _mark_changed(self, key: str) -> None:
+        for changed_keys in self._subscribers:
+            changed_keys[key] = None
+
+    def _index(self, key: str, record: Record) -> None:
+        if isinstance(record, JobRecord):
+            self.gangs += record.spec.kind == wire.GANG and record.spec.id not in self.jobs
+            self.jobs[record.spec.id] = record
+        elif isinstance(record, AdmissionRecord):
+            self.admissions[key[len(records.ADMISSION) :]] = record
+        elif isinstance(record, AllocationRecord):
+            allocation = AllocationKey.parse(key)
+            self.allocations[allocation.job][allocation] = record
+            self.zone_allocations[allocation.zone][allocation] = record
+        elif isinstance(record, PartitionRecord):
+            self.partitions[key[len(records.PARTITION) :]] = record
+        elif isinstance(record, MemberRecord):
+            self.members[record.node] = record
+        elif isinstance(record, LeaderRecord):
+            self.leader = record
+        elif isinstance(record, MachineRecord):
+            zone, name = records.parse_machine_key(key)
+            self.machines[zone][name] = record
+
+    def _unindex(self, key: str, record: Record) -> None:
+        if isinstance(record, JobRecord):
+            self.gangs -= record.spec.kind == wire.GANG and record.spec.id in self.jobs
+            self.jobs.pop(record.spec.id, None)
+        elif isinstance(record, AdmissionRecord):
+            self.admissions.pop(key[len(records.ADMISSION) :], None)
+        elif isinstance(record, AllocationRecord):
+            allocation = AllocationKey.parse(key)
+            of_job = self.allocations[allocation.job]
+            of_job.pop(allocation, None)
+            if not of_job:
+                del self.allocations[allocation.job]
+            self.zone_allocations[allocation.zone].pop(allocation, None)
+        elif isinstance(record, PartitionRecord):
+            self.partitions.pop(key[len(records.PARTITION) :], None)
+        elif isinstance(record, MemberRecord):
+            self.members.pop(record.node, None)
+        elif isinstance(record, LeaderRecord):
+            self.leader = None
+        elif isinstance(record, MachineRecord):
+            zone, name = records.parse_machine_key(key)
+            self.machines[zone].pop(name, None)
--- /dev/null
+++ b/spurarch/storage/commit.py
@@ -0,0 +1,123 @@
+"""Commits changes of records, each on condition that the keys are as this controller knows them."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Awaitable, Callable, Iterable
+from typing import TYPE_CHECKING
+
+import curio
+
+from spurarch.protocol import wire
+from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
+from spurarch.storage.rate_limits import Urgency
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
+
+if TYPE_CHECKING:
+    from spurarch.storage.history import HistoryGuard
+    from spurarch.storage.seeds import PackedSeed
+
+RETRY_UNKNOWN_S = 0.1  # after an outcome that is not known
+RETRY_REFUSED_S = 0.3  # after a refusal that followed one
+
+
+class Committer:
+    """Runs transactions and applies those that succeed to the copy of the records.
+
+    `sync` brings the copy up to date, False if that failed; `notify` wakes those who wait for changes.
+    """
+
+    def __init__(
+        self,
+        store: Store,
+        state: ClusterState,
+        sync: Callable[[], Awaitable[bool]],
+        notify: Callable[[], Awaitable[None]],
+    ) -> None:
+        self._store, self._state = store, state
+        self._sync, self._notify = sync, notify
+
+    async def commit(
+        self,
+        writes: list[Write],
+        guards: Iterable[str],
+        absent: Iterable[str],
+        give_up_s: float | None,
+        urgency: Urgency,
+        pinned: dict[str, int] | None,
+    ) -> TransactionResult:
+        """Commits writes as described for `Replica.commit`."""
+        guards = list(guards)
+        refusal = await self._unpack_seeds([*guards, *(write.key for write in writes)], urgency)
+        if refusal is not None:
+            return refusal
+        versions = {key: self._state.version(key) for key in guards}
+        versions.update((write.key, self._state.version(write.key)) for write in writes)
+        versions.update((key, 0) for key in absent)
+        versions.update(pinned or {})
+        result = await self._run(_transaction(versions, writes), give_up_s, urgency)
+        if result.status is TransactionStatus.COMMITTED:
+            self._state.apply_commit(writes, result.revision)
+            await self._notify()
+        elif result.status is TransactionStatus.CONFLICT:
+            if await self._sync() and self._store.history is not None:
+                self._check_conflict(self._store.history, versions, result.failed_keys)
+        return result
+
+    async def _run(self, txn: wire.Txn, give_up_s: float | None, urgency: Urgency) -> TransactionResult:
+        """Sends a transaction until its outcome is known, or until `give_up_s` has passed."""
+        started = time.monotonic()
+        outcome_unknown = False
+        while True:
+            result = await self._store.txn(txn, urgency)
+            if result.status in (TransactionStatus.COMMITTED, TransactionStatus.CONFLICT):
+                return result
+            if result.status is TransactionStatus.UNKNOWN:
+                outcome_unknown = True
+            elif not outcome_unknown:
+                return result
+            if give_up_s is not None and time.monotonic() - started > give_up_s:
+                return TransactionResult(TransactionStatus.UNKNOWN)
+            await curio.sleep(RETRY_UNKNOWN_S if result.status is TransactionStatus.UNKNOWN else RETRY_REFUSED_S)
+
+    async def _unpack_seeds(self, keys: list[str], urgency: Urgency) -> TransactionResult | None:
+        """Unpacks the shared values that hold any of these keys; the result that stopped it, or None."""
+        if self._state.seeds is None:
+            return None
+        for packed in self._state.seeds.holding(keys):
+            result = await self._unpack(packed, urgency)
+            if result.status is not TransactionStatus.COMMITTED:
+                return result
+        return None
+
+    async def _unpack(self, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
+        """Writes the records of a shared value under their own keys; none of them can have changed meanwhile."""
+        assert self._state.seeds is not None
+        found = [record.key for record in packed.pack.records]
+        txn = wire.Txn(
+            [wire.Guard(packed.key, packed.version), *(wire.Guard(key, 0) for key in found)],
+            [*(wire.Put(record.key, record.value) for record in packed.pack.records), wire.Delete(packed.key)],
+        )
+        result = await self._store.txn(txn, urgency)
+        if result.status is TransactionStatus.COMMITTED:
+            self._state.seeds.drop(packed.key)
+            for record in packed.pack.records:
+                self._state.put_encoded(record.key, result.revision, record.value)
+        elif result.status is not TransactionStatus.NOT_EXECUTED:
+            await self._sync()  # another controller has unpacked it, or this one without receiving the response
+        return result
+
+    def _check_conflict(self, history: HistoryGuard, sent: dict[str, int], failed: list[str]) -> None:
+        """Reports lost records: a copy that is up to date has to show the change that made a condition fail."""
+        for key in failed:
+            if key.startswith(records.LIVE) and sent.get(key, -1) == self._state.version(key):
+                history.lose(f"record {key} is not at {sent[key]}, and no change says why")
+
+
+def _transaction(versions: dict[str, int], writes: list[Write]) -> wire.Txn:
+    return wire.Txn(
+        [wire.Guard(key, version) for key, version in versions.items()],
+        [wire.Delete(w.key) if w.record is None else wire.Put(w.key, w.record, w.lease) for w in writes],
+    )
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -19,9 +19,10 @@
 from msgspec import Struct
 
 from spurarch.protocol import wire
+from spurarch.storage.errors import HistoryClosedError
 from spurarch.storage.records import FINAL, LEADER, LIVE, MEMBER
 from spurarch.storage.seeds import SEED
-from spurarch.storage.store import StoreUnavailableError, TransactionResult, TransactionStatus
+from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 HISTORY = "history/"
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
@@ -93,10 +94,6 @@
 }
 
 
-class HistoryClosedError(StoreUnavailableError):
-    """The records may not be read or written: their history is not known to be open."""
-
-
 _LATER_PREFIX = re.compile(r"h[0-9]+\.[0-9a-f]+")  # of histories after the first
 _RECORDS = (LIVE, FINAL, PACKED, SEED, UNRESOLVED_PREFIX)
 
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-import enum
 import logging
 import time
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import curio
@@ -13,7 +12,9 @@
 
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits
+from spurarch.storage.errors import RevisionTooOldError, StoreUnavailableError
 from spurarch.storage.rate_limits import AdaptiveFactor, TokenBucket, Urgency
+from spurarch.storage.transaction import TransactionResult, TransactionStatus
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Requests
 
@@ -36,26 +37,6 @@
     return lowest / published if lowest < published else 0.0
 
 
-class TransactionStatus(enum.Enum):
-    """How a transaction ended."""
-
-    COMMITTED = "done"
-    CONFLICT = "conflict"
-    NOT_EXECUTED = "refused"  # certainly not executed
-    UNKNOWN = "unknown"  # may have been executed, or may be later
-    NO_LEASE = "no lease"
-    INVALID = "invalid"
-
-
-@dataclass(slots=True)
-class TransactionResult:
-    """Result of a transaction."""
-
-    status: TransactionStatus
-    revision: int = 0
-    failed_keys: list[str] = field(default_factory=list)
-
-
 @dataclass(slots=True)
 class _KeyRead:
     """What stands under a key, and the revision of its last change; without a key, that of the service."""
@@ -64,14 +45,6 @@
     revision: int
 
 
-class StoreUnavailableError(Exception):
-    """The state service did not serve a call."""
-
-
-class RevisionTooOldError(Exception):
-    """A watch asked for changes that the service no longer has."""
-
-
 class Store:
     """The state service, as one controller sees it.
 
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -20,8 +20,7 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, AllocationRecord, FinalRecord, JobRecord, TaskEntry
-from spurarch.storage.replica import Write
-from spurarch.storage.store import TransactionResult, TransactionStatus
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
 from tests.sim.clock import Clock
 from tests.test_scale import Fleet, submission
 
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -19,15 +19,11 @@
 from spurarch.recovery.copies import ArchiveHead
 from spurarch.settings import StateLimits
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
+from spurarch.storage.errors import RevisionTooOldError, StoreUnavailableError
 from spurarch.storage.history import HistoryGuard, HistoryRecord
 from spurarch.storage.records import FinalRecord
-from spurarch.storage.store import (
-    RevisionTooOldError,
-    Store,
-    StoreUnavailableError,
-    TransactionResult,
-    TransactionStatus,
-)
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionResult, TransactionStatus
 from spurarch.transport.http import NoAnswerError, Request
 from spurarch.transport.http_messages import ResponseParser, render_request
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -16,6 +16,7 @@
 from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, machines_to_reserve
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import (
     AllocationKey,
     AllocationRecord,
@@ -24,7 +25,7 @@
     PartitionRecord,
     TaskEntry,
 )
-from spurarch.storage.replica import ClusterState, Write
+from spurarch.storage.transaction import Write
 
 WHERE = AllocationKey("a", "job-1", 0)
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -6,17 +6,17 @@
 import pytest
 
 from spurarch.protocol import wire
+from spurarch.storage.errors import HistoryClosedError
 from spurarch.storage.history import (
     ARCHIVED,
     CURRENT,
     ArchivedRecord,
-    HistoryClosedError,
     HistoryGuard,
     HistoryPhase,
     HistoryRecord,
     packed_key,
 )
-from spurarch.storage.store import TransactionResult, TransactionStatus
+from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 
 def opened(number: int = 1, revision: int = 50) -> HistoryGuard:
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -7,10 +7,10 @@
 import pytest
 
 from spurarch.recovery import rebuild
+from spurarch.storage.commit import Committer
 from spurarch.storage.rate_limits import Urgency
-from spurarch.storage.replica import Replica
 from spurarch.storage.seeds import PackedSeed
-from spurarch.storage.store import TransactionResult
+from spurarch.storage.transaction import TransactionResult
 from tests.sim.recovery import RecoveryPlay
 from tests.sim.scenario_text import Scenario
 
@@ -51,13 +51,13 @@
     """As a history of many records begins, whatever its size."""
     monkeypatch.setattr(rebuild, "SEEDED_ABOVE_S", 0.0)
     unpacked: list[str] = []
-    unpack = Replica._unpack
+    unpack = Committer._unpack
 
-    async def counted(self: Replica, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
+    async def counted(self: Committer, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
         unpacked.append(packed.key)
         return await unpack(self, packed, urgency)
 
-    monkeypatch.setattr(Replica, "_unpack", counted)
+    monkeypatch.setattr(Committer, "_unpack", counted)
     play = RecoveryPlay(Scenario.read(path, values))
     play.run()
     assert play.problems == []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -32,9 +32,9 @@
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, MachineRecord, TaskEntry
-from spurarch.storage.replica import ClusterState
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
 
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -34,6 +34,7 @@
     "spurarch.coordination.scheduling.tabu_search",
     "spurarch.coordination.scaling.scale_out_planner",
     "spurarch.storage.history",
+    "spurarch.storage.seeds",
     "spurarch.protocol.recovery_messages",
     "spurarch.recovery",
     "spurarch.archive",
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -8,9 +8,11 @@
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, TaskEntry
-from spurarch.storage.replica import ClusterState, Replica, Write
+from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store
+from spurarch.storage.transaction import Write
 from tests.sim.clock import Clock
 from tests.test_scale import Answering, submission
 
@@ -74,7 +76,7 @@
                 await curio.sleep(0)
 
         other = await curio.spawn(look)
-        await replica._apply(wire.Changes(1000, events))
+        await replica._apply_changes(wire.Changes(1000, events))
         assert len(replica.state.jobs) == 3000
         await other.join()
 
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -249,7 +249,7 @@
     for job_id, team in (("job-1", "t"), ("job-2", "other")):
         spec = submission(job_id, 4)
         spec.team = team
-        replica._apply_value(f"{records.JOB}{job_id}", 1, msgspec.Raw(msgspec.json.encode(JobRecord(spec, 0.0))))
+        replica.state.put_encoded(f"{records.JOB}{job_id}", 1, msgspec.Raw(msgspec.json.encode(JobRecord(spec, 0.0))))
     view.update()
     return replica, view
 
@@ -272,7 +272,7 @@
     replica, view = two_teams()
     with caplog.at_level(logging.ERROR):
         for version in (2, 3):
-            replica._apply_value(key, version, msgspec.Raw(value))
+            replica.state.put_encoded(key, version, msgspec.Raw(value))
             view.update()
     assert len([line for line in caplog.messages if "unreadable record" in line]) == 1
     mine, other = (view.teams.index(name) for name in ("t", "other"))
@@ -286,11 +286,11 @@
 def test_a_readable_record_in_the_place_of_an_unreadable_one_is_charged() -> None:
     replica, view = two_teams()
     key = str(AllocationKey("a", "job-1", 0))
-    replica._apply_value(key, 2, msgspec.Raw(b"7"))
+    replica.state.put_encoded(key, 2, msgspec.Raw(b"7"))
     view.update()
     record = AllocationRecord([TaskEntry(n) for n in range(3)])
-    replica._apply_value(key, 3, msgspec.Raw(msgspec.json.encode(record)))
-    replica._apply_value(f"{records.ADMISSION}job-1", 3, msgspec.Raw(msgspec.json.encode(AdmissionRecord(3, 1))))
+    replica.state.put_encoded(key, 3, msgspec.Raw(msgspec.json.encode(record)))
+    replica.state.put_encoded(f"{records.ADMISSION}job-1", 3, msgspec.Raw(msgspec.json.encode(AdmissionRecord(3, 1))))
     view.update()
     assert view.ledger.tasks_allowed(view.teams.index("t"), ONE, 9) == 5
 
