--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -102,7 +102,7 @@
     network = network or Network()
     limits = platform.deployment.state
     store = Store(network.client(platform.external.state, CONNECTIONS), limits, 1)
-    store.set_shares(RATE_SHARE, RATE_SHARE)
+    store.rates.set_shares(RATE_SHARE, RATE_SHARE)
     earlier = newest_archived(root)
     if earlier is not None and (found := history_of(earlier).installation) != installation:
         raise OtherInstallationError(f"{root}: the archive is of installation {found!r}, not {installation!r}")
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -108,6 +108,6 @@
             writes.append(Write(records.ADMISSION + job_id, None))
         # What does not fit goes with the owners' clean-up of jobs that are over; all of it while changes are scarce.
         rest = [str(key) for key in state.allocations.get(job_id, {})]
-        if self._replica.store.can_write_now(Urgency.ENDS):
+        if self._replica.store.rates.can_write_now(Urgency.ENDS):
             writes += [Write(key, None) for key in rest[: most - len(writes)]]
         return writes, set(rest[: self._most_guards])
--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -81,7 +81,7 @@
             return error(400, "ref: not a job id")
         if not _finite(spec):
             return error(400, "an amount is out of range")
-        wait_s = self._pending / self.replica.store.write_rate
+        wait_s = self._pending / self.replica.store.rates.write_rate
         if wait_s > MOST_WAIT_S:
             # The line in front of the state service is longer than users wait: better to come back when it is short.
             return error(503, "too many submissions at once", math.ceil(wait_s))
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -305,7 +305,7 @@
         before = self._loads.get(load.node)
         announced = self.platform.deployment.state.next is not None
         if announced and before is not None and load.throttled_writes > before[0].throttled_writes:
-            self.store.record_peer_throttled()
+            self.store.rates.record_peer_throttled()
 
     async def _pong(self) -> peer_messages.Pong:
         """What this controller knows, whether or not it reaches the state service: a peer may go on by it."""
@@ -372,10 +372,10 @@
             total = self.platform.deployment.state.write_rps
             mine = peer_messages.Load(
                 node,
-                *self.store.recent_writes(),
+                *self.store.rates.recent_writes(),
                 self.owner.unregistered_machines(now),
                 self.owner.scale_in.released_unrecorded(),
-                self.store.throttled_writes,
+                self.store.rates.throttled_writes,
             )
             self.owner.scale_in.unregistered_by_peer = {
                 n: dict(load.unregistered_machines) for n, load in recent.items()
@@ -387,7 +387,7 @@
                 {n: load.writes / total for n, load in recent.items()},
                 {n for n, load in recent.items() if load.backlogged},
             )
-            self.store.set_shares(shares[node][0], writes)
+            self.store.rates.set_shares(shares[node][0], writes)
             self.cloud.set_share(CLOUD_LEADER if node == leader else (1 - CLOUD_LEADER) / max(1, len(nodes) - 1))
             frame = peer_messages.encode(mine)
             for client in self.peers.values():
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -105,7 +105,7 @@
         budget = RoundBudget(self.tuning.budget_ms / 1000, share)
         self.view.update()
         self.view.ledger.release_resolved(self.replica.state.revision, term)
-        scarce = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
+        scarce = min(1.0, max(0.0, 1.0 - self.replica.store.rates.write_level()))
         admission = AdmissionPlanner(
             self.view,
             time.time(),
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -291,7 +291,7 @@
         changes = partition.terminal_entries(state, self._batch_delay_s())
         if partition.unassigned:
             budget = self._round_budget()
-            owned.placer.writes_scarce = self.replica.store.write_level() < SCARCE_LEVEL
+            owned.placer.writes_scarce = self.replica.store.rates.write_level() < SCARCE_LEVEL
             placed = owned.placer.run_round(partition, self.view, now, budget.spent, MOST_PLACED, time.time())
             if self.permissions.records_are_fresh(now):
                 for attempt in placed.preempt:
@@ -311,7 +311,7 @@
 
     def _batch_delay_s(self) -> float:
         """How long ends are gathered: not at all while changes are to be had, longer the scarcer they are."""
-        level = self.replica.store.write_level()
+        level = self.replica.store.rates.write_level()
         if level <= Urgency.STARTS.value:
             return GATHER_SCARCE_S
         return GATHER_S * min(1.0, max(0.0, GATHER_BELOW - level) / GATHER_BELOW)
@@ -391,7 +391,7 @@
         await self._commit_some(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
         if not owned.placer.pending_changes:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
-            if self.replica.store.can_write_now(Urgency.ENDS) or now - owned.cleaned_at > CLEAN_S:
+            if self.replica.store.rates.can_write_now(Urgency.ENDS) or now - owned.cleaned_at > CLEAN_S:
                 owned.cleaned_at = now
                 bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
             owned.placer.pending_changes = {c.where: c.entries or {} for c in bulk if c.where is not None}
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -1,8 +1,8 @@
 """Only one controller rebuilds at a time: a claim in the state service, with a heartbeat.
 
-Time decides when another takes over, versions decide whether it is safe: every transaction of the rebuilding has the
-version of the claim and a key named after the rebuilding as conditions. Leases of the state service are of no use here,
-since their numbers, too, begin anew in a service that was wiped.
+Time decides when another controller takes over, versions decide whether that is safe: every transaction of a rebuild
+has the version of the claim and a key named after the rebuild as conditions. Leases of the state service are of no use
+here, since their numbers start again in a service that was wiped.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 import msgspec
 from msgspec import Struct, field
 
+from spurarch.errors import SpurarchError
 from spurarch.protocol import wire
 from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.history import CLAIM
@@ -20,22 +21,22 @@
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 HEARTBEAT_S = 1.0
-FINISHED = "opened"  # the step of a rebuilding that is over
-SILENT_S = 5.0  # several heartbeats: a claim that does not change for so long may be taken over
+FINISHED = "opened"  # the step of a rebuild that has ended
+EXPIRED_AFTER_S = 5.0  # several heartbeats: a claim that does not change for so long may be taken over
 
 
 class ClaimRecord(Struct):
-    """Who rebuilds. `epoch` is 0 until it has been chosen; `step` is for people."""
+    """Which controller rebuilds. `epoch` is 0 until it is chosen; `step` is only shown to operators."""
 
     node: str
     process_incarnation: str = field(name="boot")
-    name: str  # of the history to come
+    name: str  # of the next history
     heartbeat_number: int = field(name="beat")
     epoch: int = 0
     step: str = ""
 
 
-class ClaimLostError(Exception):
+class ClaimLostError(SpurarchError):
     """Another controller rebuilds, or the state service lost its data once more."""
 
 
@@ -47,13 +48,13 @@
 
     def __init__(self, store: Store, node: str, process_incarnation: str) -> None:
         self._store, self._node, self._process_incarnation = store, node, process_incarnation
-        self.record: ClaimRecord | None = None  # whoever has it
+        self.record: ClaimRecord | None = None  # of the controller that has the claim
         self._version = 0
         self._unchanged_since = 0.0
 
     @property
     def mine(self) -> bool:
-        """This process rebuilds."""
+        """Whether this process has the claim."""
         return self.record is not None and self.record.process_incarnation == self._process_incarnation
 
     @property
@@ -62,7 +63,7 @@
         return self._version
 
     async def read(self) -> None:
-        """Learns who rebuilds."""
+        """Reads the claim. Raises `StoreUnavailableError`."""
         item = await self._store.get(CLAIM)
         version = item.version if item is not None else 0
         if version != self._version or self.record is None:
@@ -70,17 +71,17 @@
         try:
             self.record = _decoder.decode(item.value) if item is not None else None
         except msgspec.DecodeError:
-            self.record = None  # nonsense: it may be written over
+            self.record = None  # unreadable: it may be overwritten
 
-    async def take(self, name: str) -> bool:
-        """Claims the rebuilding if nobody has it, or whoever had it is silent, by what was read last.
+    async def acquire(self, name: str) -> bool:
+        """Acquires the claim if it is free or has expired, by the last `read`; False if another controller has it.
 
-        That read has to come before the one that shows which history is open: a rebuilding that ends between the two
+        That read has to come before the one that shows which history is open: a rebuild that ends between the two
         changes the claim, and its history must not be taken for the lost one.
         """
-        silent = time.monotonic() - self._unchanged_since > SILENT_S
+        expired = time.monotonic() - self._unchanged_since > EXPIRED_AFTER_S
         free = self.record is None or self.record.step == FINISHED
-        if not free and not self.mine and not silent:
+        if not free and not self.mine and not expired:
             return False
         record = ClaimRecord(self._node, self._process_incarnation, name, 1, 0, "sealing")
         return (await self._write(record, [], [])).status is TransactionStatus.COMMITTED
@@ -88,7 +89,10 @@
     async def commit(
         self, guards: list[wire.Guard], changes: list[wire.Put | wire.Delete], step: str, epoch: int | None = None
     ) -> None:
-        """Makes changes as the one that rebuilds; raises if this is somebody else by now."""
+        """Makes changes while this process has the claim.
+
+        Raises `ClaimLostError`, or `StoreUnavailableError` if certainly nothing was changed.
+        """
         record = self.record
         if record is None or record.process_incarnation != self._process_incarnation:
             raise ClaimLostError("the claim is not ours")
@@ -113,15 +117,16 @@
         txn = wire.Txn([own, *guards], [wire.Put(CLAIM, record), *changes])
         result = await self._store.txn(txn, Urgency.MEMBERSHIP)
         if result.status is TransactionStatus.UNKNOWN:
-            result = await self._settle(record, result)
+            result = await self._resolve_unknown(record, result)
         if result.status is TransactionStatus.COMMITTED:
             self.record, self._version, self._unchanged_since = record, result.revision, time.monotonic()
         return result
 
-    async def _settle(self, record: ClaimRecord, result: TransactionResult) -> TransactionResult:
-        """Whether a transaction without an answer was carried out: the claim that it wrote is there.
+    async def _resolve_unknown(self, record: ClaimRecord, result: TransactionResult) -> TransactionResult:
+        """Finds out whether a transaction with a lost response was executed: then the claim that it wrote is there.
 
-        If it is not, it may still come; the changed conditions of the next one would then fail, and the claim is lost.
+        If it is not, it may still be executed later. The next transaction's conditions then fail, and the claim is
+        lost.
         """
         item = await self._store.get(CLAIM)
         if item is not None and _decoder.decode(item.value) == record:
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -1,4 +1,4 @@
-"""`spurarch recovery`: the operators' commands."""
+"""The commands `spurarch recovery ...`, for operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 USAGE, FAILED = 2, 1
 CONNECTIONS = 2
-RATE_SHARE = 0.05
+RATE_SHARE = 0.05  # of the state service's rates, taken beside those of the controllers
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
@@ -45,18 +45,18 @@
 
 
 def run_command(args: argparse.Namespace) -> int:
-    """Runs a command; returns its exit code."""
+    """Runs a command and returns its exit code."""
     actions: dict[str, Callable[[Store, argparse.Namespace], Awaitable[None]]] = {
         "init": _init,
-        "status": _status,
-        "doubts": _doubts,
-        "settle": _settle,
+        "status": _print_status,
+        "doubts": _print_unresolved,
+        "settle": _resolve,
         "purge": _purge,
     }
     try:
         platform = load_platform(args.config)
         store = Store(Network().client(platform.external.state, CONNECTIONS), platform.deployment.state, 1)
-        store.set_shares(RATE_SHARE, RATE_SHARE)
+        store.rates.set_shares(RATE_SHARE, RATE_SHARE)
         curio.run(actions[args.action], store, args)
     except (SettingsError, OperatorError) as err:
         print(f"spurarch: {err}", file=sys.stderr)
@@ -72,7 +72,7 @@
     print(f"history {history.name} is open")
 
 
-async def _status(store: Store, args: argparse.Namespace) -> None:
+async def _print_status(store: Store, args: argparse.Namespace) -> None:
     status = await operators.read_status(store)
     if status.history is None:
         print("no history: a new installation needs `recovery init`, a wiped one is rebuilt by its controllers")
@@ -87,14 +87,15 @@
     if status.claim is not None:
         claim = status.claim
         print(
-            f"last rebuilding: {claim.name} by {claim.node}, {claim.step}, epoch {claim.epoch}, beat {claim.heartbeat_number}"
+            f"last rebuilding: {claim.name} by {claim.node}, {claim.step},"
+            f" epoch {claim.epoch}, beat {claim.heartbeat_number}"
         )
-    print(f"in doubt: {len(status.doubts)}")
+    print(f"in doubt: {len(status.unresolved)}")
 
 
-async def _doubts(store: Store, args: argparse.Namespace) -> None:
+async def _print_unresolved(store: Store, args: argparse.Namespace) -> None:
     status = await operators.read_status(store)
-    for unresolved in status.doubts:
+    for unresolved in status.unresolved:
         print(f"{unresolved.job}\t{unresolved.kind}\t{unresolved.detail}")
 
 
@@ -102,10 +103,10 @@
     print(f"{await operators.purge(store)} keys deleted")
 
 
-async def _settle(store: Store, args: argparse.Namespace) -> None:
+async def _resolve(store: Store, args: argparse.Namespace) -> None:
     if args.unknown_jobs:
-        await operators.settle_unknown_jobs(store)
+        await operators.resolve_unknown_jobs(store)
         return
     if args.state is None:
         raise OperatorError("--job needs --as")
-    await operators.settle_job(store, args.job, args.state)
+    await operators.resolve_job(store, args.job, args.state)
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -1,4 +1,4 @@
-"""Copies of a lost history: from this controller's memory, from peers, from an archive, from the state service."""
+"""Copies of a lost history: from this controller's memory, from peers, from the archive and from the state service."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import msgspec
 from msgspec import Struct
 
+from spurarch.errors import SpurarchError
 from spurarch.protocol import recovery_messages, wire
 from spurarch.protocol.recovery_messages import EvidencePage, EvidenceRequest, StoredRecord
 from spurarch.recovery.evidence import Source, SourceKind
@@ -25,7 +26,7 @@
 
 
 class ArchiveHead(Struct):
-    """What an archiver serves: the newest point of a history; None while it has none."""
+    """What an archive server has: the newest revision of a history; None while it has none."""
 
     history: HistoryRecord | None
     revision: int
@@ -33,7 +34,7 @@
 
 
 class ArchivePage(Struct):
-    """Records of the archive at one revision, from a position on; `position` is 0 after the last."""
+    """Records of the archive at one revision; `position` is that of the next page, 0 after the last."""
 
     revision: int
     records: list[StoredRecord]
@@ -45,12 +46,12 @@
 _page_decoder = msgspec.msgpack.Decoder(ArchivePage)
 
 
-class PeerOutdatedError(Exception):
-    """A controller lives that does not know recovery."""
+class PeerOutdatedError(SpurarchError):
+    """A controller runs a version without recovery; the message is its name."""
 
 
 def stored_records(state: ClusterState) -> list[StoredRecord]:
-    """All that a copy in memory holds, as it is passed on."""
+    """Encodes all records of a copy in memory, as they are passed on."""
     out = [
         StoredRecord(key, entry.version, wire.encode(entry.record))
         for key, entry in state.entries.items()
@@ -61,7 +62,7 @@
 
 
 def page_of(stored: list[StoredRecord], position: int) -> tuple[list[StoredRecord], int]:
-    """Records from a position on, as many as go into a frame, and where the next page begins; 0 after the last."""
+    """Records from a position on, as many as fit into a frame, and the next page's position, 0 after the last."""
     out: list[StoredRecord] = []
     size = 0
     for record in stored[position : position + PAGE_RECORDS]:
@@ -74,23 +75,23 @@
 
 
 def memory_source(node: str, state: ClusterState, since: int) -> Source:
-    """This controller's own copy."""
+    """This controller's own copy, which has missed no change after the revision `since`."""
     source = Source(SourceKind.REPLICA, node, since, state.revision)
     for record in stored_records(state):
-        source.take(record)
+        source.add(record)
     return source
 
 
 @dataclass(slots=True)
 class PeerCopy:
-    """A peer's copy, if it has one. One that is not `settled` has not answered, or may still change its copy."""
+    """A peer's copy, if it has one. Unless `final`, it has not answered or may still change its copy."""
 
-    settled: bool
+    final: bool
     source: Source | None = None
 
 
 async def peer_copy(node: str, peer: Calls, sender: str, history: str) -> PeerCopy:
-    """Asks a peer for its copy of a history."""
+    """Asks a peer for its copy of a history. Raises `PeerOutdatedError`."""
     source: Source | None = None
     position = 0
     while True:
@@ -105,14 +106,14 @@
         if source is None:
             source = Source(SourceKind.REPLICA, node, page.since, page.revision)
         for record in page.records:
-            source.take(record)
+            source.add(record)
         if not page.position:
             return PeerCopy(True, source)
         position = page.position
 
 
 async def archive_head(client: Requests, timeout_s: float) -> ArchiveHead | None:
-    """What an archiver has; None if it can't be asked."""
+    """What an archive server has; None if it does not answer within `timeout_s`."""
     try:
         status, body = await client.request("GET", PATH_HEAD, None, timeout_s)
         return _head_decoder.decode(body) if status == 200 else None
@@ -121,7 +122,7 @@
 
 
 async def archive_source(client: Requests, history: str, kind: SourceKind = SourceKind.ARCHIVE) -> Source | None:
-    """The archive of a history; None if it can't be had whole."""
+    """The archive of a history; None if it can't be read completely."""
     source: Source | None = None
     position = 0
     while True:
@@ -136,7 +137,7 @@
         if source is None:
             source = Source(kind, "archive", 0, page.revision)
         for record in page.records:
-            source.take(record)
+            source.add(record)
         if not page.position:
             return source
         position = page.position
@@ -153,7 +154,7 @@
             for item in page.items:
                 key = item.key[len(history.prefix) :]
                 if not key.startswith((records.MEMBER, records.LEADER)):
-                    source.take(StoredRecord(key, item.version, bytes(item.value)))
+                    source.add(StoredRecord(key, item.version, bytes(item.value)))
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
--- a/spurarch/recovery/evidence.py
+++ b/spurarch/recovery/evidence.py
@@ -1,8 +1,9 @@
-"""What is known of a lost history: copies of its records, and reports that workers sent after it was sealed."""
+"""What is known of a lost history: copies of its records, and heartbeats that workers sent after it was sealed."""
 
 from __future__ import annotations
 
 import enum
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 import msgspec
@@ -11,14 +12,14 @@
 from spurarch.protocol.recovery_messages import StoredRecord
 from spurarch.storage import records
 from spurarch.storage.history import PACKED, decode_packed
-from spurarch.storage.records import FinalRecord, Record
+from spurarch.storage.records import AllocationRecord, FinalRecord, PartitionRecord, Record
 from spurarch.storage.seeds import SEED, SEED_VERSION, decode_seed
 
 
 class SourceKind(enum.Enum):
-    """Where a copy comes from."""
+    """Origin of a copy."""
 
-    REPLICA = "replica"  # the memory of a controller that lived on
+    REPLICA = "replica"  # the memory of a controller that was not restarted
     ARCHIVE = "archive"
     REMAINS = "remains"  # what the state service still holds
     ANCESTOR = "ancestor"  # the archive of the history before the lost one
@@ -36,8 +37,8 @@
 class Source:
     """A copy of a history's records.
 
-    It holds everything that was alive at `revision`, and perhaps single records that are newer; final standings are
-    complete from `since` on. `unreadable` counts values that make no sense.
+    It holds all records in use at `revision`, and possibly some that are newer. Final records are complete for the
+    revisions from `since` on. `unreadable` counts values that could not be decoded.
     """
 
     kind: SourceKind
@@ -48,8 +49,8 @@
     finals: dict[str, FinalRecord] = field(default_factory=dict)
     unreadable: int = 0
 
-    def take(self, stored: StoredRecord) -> None:
-        """Adds a record; one that can't be read is set aside and counted."""
+    def add(self, stored: StoredRecord) -> None:
+        """Adds a record; one that can't be decoded is only counted."""
         try:
             if stored.key.startswith(PACKED):
                 for job, final in decode_packed(stored.value).jobs.items():
@@ -57,7 +58,7 @@
                 return
             if stored.key.startswith(SEED):
                 for seed in decode_seed(stored.value).records:
-                    self.take(StoredRecord(seed.key, SEED_VERSION, bytes(seed.value)))
+                    self.add(StoredRecord(seed.key, SEED_VERSION, bytes(seed.value)))
                 return
             record = records.decode(stored.key, stored.value)
         except msgspec.DecodeError:
@@ -73,20 +74,45 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that a rebuilding goes by.
+    """All that a rebuild is based on.
 
-    `reports` holds the newest report of each worker that has shown the token of this rebuilding, so that nothing sent to
-    it before can act any more. `complete` says that every controller of the lost history lived on and gave its copy.
+    `heartbeats` holds the newest of each worker that has shown the rebuild's fencing token, so that no command sent to
+    it before has an effect any more. `complete` says that every controller of the lost history gave its copy.
     """
 
     sources: list[Source] = field(default_factory=list)
     heartbeats: dict[str, wire.Heartbeat] = field(default_factory=dict)
     complete: bool = False
-    uncertain: bool = False  # jobs without a trace were possible in the lost history already
-    archived_answers: bool = False  # users were told only what the archive held
+    uncertain: bool = False  # the lost history may already have lacked jobs
+    archived_answers: bool = False  # users were told only what the archive held already
 
     def add_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
-        """Adds a worker's report unless something newer is known of it."""
+        """Adds a worker's heartbeat unless a newer one is known."""
         known = self.heartbeats.get(heartbeat.machine)
         if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
             self.heartbeats[heartbeat.machine] = heartbeat
+
+
+def highest_epoch(sources: Iterable[Source]) -> int:
+    """The highest partition epoch on record in any copy; 0 if there is none."""
+    return max(
+        (
+            found.record.epoch
+            for source in sources
+            for found in source.alive.values()
+            if isinstance(found.record, PartitionRecord)
+        ),
+        default=0,
+    )
+
+
+def machines_on_record(sources: Iterable[Source]) -> set[str]:
+    """Names of the machines that any copy knows, by a record of their own or by a task assigned to them."""
+    machines: set[str] = set()
+    for source in sources:
+        for key, found in source.alive.items():
+            if key.startswith(records.MACHINE):
+                machines.add(records.parse_machine_key(key)[1])
+            elif isinstance(found.record, AllocationRecord):
+                machines.update(entry.machine for entry in found.record.tasks if entry.state == records.ASSIGNED)
+    return machines
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -1,8 +1,8 @@
-"""Answers and collects workers' reports while a history is closed.
+"""Answers and collects workers' heartbeats while a history is closed.
 
-An answer carries the first token of an epoch that lies above all epochs ever given, and stops what is cancelled. A worker that shows it
-has had our answer, drops whatever an earlier owner still sends, and keeps what runs on it. Its lease is renewed only while
-no cancellation can have been missed for too long, or if nothing runs on it that could have been cancelled.
+A response carries the first fencing token of an epoch above all epochs ever given, and stops cancelled tasks. A worker
+that shows this token has received the response: it ignores whatever an earlier owner still sends, and keeps its
+attempts. Its lease is renewed only while no cancellation can have been missed for too long, or if nothing runs on it.
 """
 
 from __future__ import annotations
@@ -17,17 +17,20 @@
 
 
 class HeartbeatCollector:
-    """Reports that came to this controller, newest for each worker, in the order of their coming."""
+    """Heartbeats that this controller received: the newest of each worker, in the order of arrival.
+
+    `may_answer` says whether leases may be renewed at a time of the monotonic clock, `cancelled` whether a job is.
+    """
 
     def __init__(self, may_answer: Callable[[float], bool], cancelled: Callable[[str], bool]) -> None:
         self._may_answer, self._cancelled = may_answer, cancelled
-        self.epoch = 0  # of the rebuilding under way; 0 while there is none
-        self.highest_epoch = 0  # that any worker has shown, other than that one
+        self.epoch = 0  # of the rebuild in progress; 0 while there is none
+        self.highest_epoch = 0  # that any worker has shown, other than `epoch`
         self._heartbeats: dict[str, wire.Heartbeat] = {}
         self._arrivals: list[str] = []
 
     def begin(self, epoch: int) -> None:
-        """A rebuilding gives tokens of this epoch."""
+        """Starts to collect for a rebuild that gives tokens of this epoch."""
         if epoch != self.epoch:
             self.epoch = epoch
             self._heartbeats.clear()
@@ -35,11 +38,11 @@
 
     @property
     def token(self) -> int:
-        """What workers are given."""
+        """The fencing token that workers are given."""
         return self.epoch << TOKEN_BITS
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
-        """Takes a report in; 200 keeps the worker's lease, 503 sends it on."""
+        """Answers a heartbeat: status 200 renews the worker's lease, 503 sends it to another controller."""
         shown = heartbeat.fencing_token >> TOKEN_BITS
         if shown != self.epoch:
             self.highest_epoch = max(self.highest_epoch, shown)
@@ -49,10 +52,10 @@
             return 503, wire.encode(wire.ErrorBody("the records are being rebuilt"))
         if not self._may_answer(time.monotonic()) and _runs_anything(heartbeat):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        return 200, wire.encode(wire.HeartbeatResponse(self.token, self._stops(heartbeat)))
+        return 200, wire.encode(wire.HeartbeatResponse(self.token, self._stop_commands(heartbeat)))
 
-    def _stops(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
-        """Cancelled tasks leave in time however long this takes; stopping them needs no record."""
+    def _stop_commands(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
+        """Stops cancelled tasks, which needs no record, so that they end in time however long the rebuild takes."""
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
             for task in heartbeat.tasks
@@ -66,7 +69,7 @@
             self._arrivals.append(heartbeat.machine)
 
     def page(self, epoch: int, after: int) -> tuple[list[wire.Heartbeat], int]:
-        """Reports that show the token of an epoch and came after so many others, and how many have come by then."""
+        """Heartbeats with an epoch's token from the position `after` on, and the position after them."""
         if epoch != self.epoch:
             return [], 0
         names = self._arrivals[after : after + PAGE_HEARTBEATS]
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -1,4 +1,4 @@
-"""Puts a controller and its recovery together."""
+"""Builds a controller with recovery."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from spurarch.coordination.controller import Controller
 from spurarch.recovery.coverage import ArchiveProgress
-from spurarch.recovery.service import RecoveryService
+from spurarch.recovery.service import RecoveryContext, RecoveryService
 from spurarch.settings import Platform, Tuning
 from spurarch.storage.history import HistoryGuard
 from spurarch.storage.records import UNRESOLVED, FinalRecord
@@ -14,9 +14,9 @@
 
 
 class RecoveryExtension:
-    """The parts of recovery that one controller is given; a controller that begins anew gets new ones.
+    """The parts of recovery that one controller is given; a controller that starts again gets new ones.
 
-    `finals` are final standings that an earlier controller of this process knew: they stay true in every history.
+    `finals` are final records that an earlier controller of this process knew: they hold in every history.
     """
 
     def __init__(self, tuning: Tuning, finals: Mapping[str, FinalRecord]) -> None:
@@ -25,19 +25,21 @@
         self.coverage = ArchiveProgress(self.guard, tuning.archive_timeout_s, tuning.archive_away == "hold")
 
     def attach(self, controller: Controller) -> RecoveryService:
-        """Makes the service for a controller."""
+        """Builds the recovery service of a controller."""
         controller.replica.state.finals.update(self._finals)
         return RecoveryService(
-            controller.platform,
-            controller.tuning,
-            controller.network,
-            self.guard,
-            controller.replica,
-            controller.owner,
-            controller.owner.permissions,
-            controller.cloud,
-            controller.peers,
-            controller.process_incarnation,
+            RecoveryContext(
+                controller.platform,
+                controller.tuning,
+                controller.network,
+                controller.process_incarnation,
+                self.guard,
+                controller.replica,
+                controller.owner,
+                controller.owner.permissions,
+                controller.cloud,
+                controller.peers,
+            )
         )
 
 
@@ -48,9 +50,10 @@
     process_incarnation: str | None = None,
     before: Controller | None = None,
 ) -> Controller:
-    """A controller that notices lost data and takes part in rebuilding it. Its `run` ends when it has to begin anew.
+    """Builds a controller that notices lost records and takes part in rebuilding them.
 
-    `before` is the controller of this process that did.
+    Its `run` returns when it has to start again in another history; `before` is the controller of this process that
+    did.
     """
     finals = before.replica.state.finals if before is not None else {}
     certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -1,31 +1,31 @@
-"""Makes one picture out of the evidence. Pure: the same evidence in any order, once or twice, gives the same picture.
+"""Merges the evidence of a lost history into the records of the next one.
 
-The rules, from the strongest:
-  1. A final standing beats everything known of its job. Two that differ leave the job in doubt.
+This is a pure function: the same evidence in any order, once or twice, gives the same records. Its rules, from the
+strongest to the weakest:
+
+  1. A final record overrides everything else about its job. Two that differ leave the outcome unresolved.
   2. Among copies of one history, the change with the highest revision wins, and a copy that is complete at a revision
-     proves that what it lacks was gone by then. A job that was alive in one copy, is gone in a newer one and has no final
-     standing anywhere is over, nobody knows how: it is in doubt, unless it was cancelled.
-  3. A worker's report that follows the token of this rebuilding is the whole truth of that worker: what it shows is
-     there, what it lacks is not, and nothing sent to it earlier acts any more. An end beats an attempt, a higher attempt a
+     proves that a record which it lacks was deleted by then. A job that is in use in one copy, deleted in a newer one
+     and has no final record anywhere is terminal with an unresolved outcome, unless it was cancelled.
+  3. A worker's heartbeat that shows the rebuild's fencing token is complete for that worker: the attempts that it lists
+     exist, others do not, and no command sent earlier has an effect. An end overrides an attempt, a higher attempt a
      lower one.
-  4. A task that the records put on a worker that was not heard stays on it: only the ordinary proofs of its partition's
-     owner free it.
-  5. Where users are told only what is archived, a job that is over without a final standing in the archive is not over for
-     anybody: it goes on, and its tasks that are done end at once.
-  6. All other tasks that have not ended go back to the leader, who admits them anew within the limits of their teams.
+  4. A task that the records assign to a worker without such a heartbeat stays assigned to it: only the ordinary proofs
+     of its partition's owner free it.
+  5. Where users are told only what is archived, a terminal job without a final record in the archive is not terminal
+     for any user: it goes on, and those of its tasks that are done end at once.
+  6. All other tasks that have not ended go back to the leader, who admits them again within the quotas of their teams.
 """
 
 from __future__ import annotations
 
-import enum
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass, field
-
-from msgspec import Struct
+from dataclasses import dataclass
 
 from spurarch.protocol import wire
 from spurarch.recovery.evidence import Evidence, Source, SourceKind, Versioned
+from spurarch.recovery.rebuilt_records import RebuiltRecords, UnresolvedKind, UnresolvedOutcome
 from spurarch.storage import records
 from spurarch.storage.records import (
     AdmissionRecord,
@@ -33,59 +33,29 @@
     AllocationRecord,
     FinalRecord,
     JobRecord,
-    PartitionRecord,
     TaskEntry,
 )
 
-STEP = 200  # reports or jobs
-ATTEMPTS_UNSEEN = 1000  # attempts that may have been made without a trace, where records may be missing
+STEP = 200  # heartbeats or jobs between two pauses
+ATTEMPTS_UNSEEN = 1000  # attempts that may have been started without a trace, where records may be missing
 
 
 _COPIES = {SourceKind.REPLICA, SourceKind.ARCHIVE}
 
 
-class UnresolvedKind(enum.Enum):
-    """What can't be known."""
-
-    OUTCOME = "outcome"  # the job is over; whether done or cancelled is not on record
-    CONFLICT = "conflict"  # two final standings
-    UNKNOWN_JOB = "unknown job"  # a worker runs a task of a job that no record describes
-
-
-class UnresolvedOutcome(Struct, frozen=True, order=True):
-    """Something that an operator has to settle."""
-
-    job: str
-    kind: str  # of `DoubtKind`
-    detail: str
-
-
-@dataclass(slots=True)
-class RebuiltRecords:
-    """The records to begin the next history with."""
-
-    jobs: dict[str, JobRecord] = field(default_factory=dict)
-    admitted: dict[str, AdmissionRecord] = field(default_factory=dict)
-    allocations: dict[AllocationKey, AllocationRecord] = field(default_factory=dict)
-    finals: dict[str, FinalRecord] = field(default_factory=dict)
-    unresolved: list[UnresolvedOutcome] = field(default_factory=list)
-    set_aside: int = 0  # records and reports that make no sense
-    uncertain: bool = False  # jobs may have been accepted or ended of which there is no trace
-
-
 @dataclass(frozen=True, slots=True)
 class _Placement:
-    """A task on a machine, as a record or a report has it."""
+    """An attempt of a task on a machine, by a record or a heartbeat."""
 
     attempt: int
     zone: str
     machine: str
-    session: int
+    incarnation: int
 
 
 @dataclass(slots=True)
 class _Task:
-    """What is known of one task."""
+    """What is known of one task: its highest attempt, and where records and heartbeats place it."""
 
     attempt: int = 0
     ended: bool = False
@@ -95,7 +65,7 @@
 
 
 def merge(evidence: Evidence, tasks_per_record: int) -> RebuiltRecords:
-    """The picture that the evidence gives."""
+    """Merges the evidence at once."""
     merger = Merger(evidence, tasks_per_record)
     for _ in merger.steps():
         pass
@@ -103,7 +73,7 @@
 
 
 def alive_records(sources: Iterable[Source]) -> dict[str, Versioned]:
-    """The records that were alive at the end of a history, by copies of it."""
+    """The records in use at the end of a history, by copies of it."""
     copies = list(sources)
     newest: dict[str, Versioned] = {}
     for source in copies:
@@ -117,38 +87,13 @@
     }
 
 
-def highest_epoch(sources: Iterable[Source]) -> int:
-    """The highest partition epoch on any record."""
-    return max(
-        (
-            found.record.epoch
-            for source in sources
-            for found in source.alive.values()
-            if isinstance(found.record, PartitionRecord)
-        ),
-        default=0,
-    )
-
-
-def machines_on_record(sources: Iterable[Source]) -> set[str]:
-    """Machines that some copy knows, whether by a record of their own or by a task on them."""
-    out: set[str] = set()
-    for source in sources:
-        for key, found in source.alive.items():
-            if key.startswith(records.MACHINE):
-                out.add(records.parse_machine_key(key)[1])
-            elif isinstance(found.record, AllocationRecord):
-                out.update(entry.machine for entry in found.record.tasks if entry.state == records.ASSIGNED)
-    return out
-
-
 class Merger:
-    """One merge, in steps between which whoever merges may answer others: a large fleet takes seconds."""
+    """One merge, in steps between which the caller may do other work: a large fleet takes seconds."""
 
     def __init__(self, evidence: Evidence, tasks_per_record: int) -> None:
         self._evidence, self._tasks_per_record = evidence, tasks_per_record
-        # What the state service still holds may have been written to since it was rolled back, and an ancestor counts
-        # other revisions: these tell of jobs and final standings only, unless there is nothing else.
+        # The remains in the state service may have been written to since they were rolled back, and an ancestor counts
+        # other revisions. Both are used for jobs and final records only, unless there is no other copy.
         copies = [source for source in evidence.sources if source.kind in _COPIES]
         self._copies = copies or evidence.sources
         self._alive = alive_records(self._copies)
@@ -157,15 +102,15 @@
         self.rebuilt = self._out = RebuiltRecords()
 
     def steps(self) -> Iterator[None]:
-        """Makes the picture; it is whole at the end."""
+        """Does the merge, with a pause at each item; `rebuilt` is complete at the end."""
         out = self._out
         out.set_aside = sum(source.unreadable for source in self._evidence.sources)
         out.uncertain = not self._finals_complete()
-        self._take_finals()
+        self._merge_finals()
         yield
-        self._take_jobs()
+        self._merge_jobs()
         yield
-        self._take_allocations()
+        self._merge_allocations()
         yield
         for number, (_, heartbeat) in enumerate(sorted(self._evidence.heartbeats.items())):
             self._apply_heartbeat(heartbeat)
@@ -178,7 +123,7 @@
         out.unresolved = sorted(set(out.unresolved))
 
     def _finals_complete(self) -> bool:
-        """Every controller gave its copy, and together with an archive they reach back to the beginning."""
+        """Whether all final records are known: all controllers gave copies, which leave no gap after the archive."""
         if self._evidence.uncertain:
             return False
         if self._archive_is_enough:
@@ -189,13 +134,13 @@
 
     @property
     def _archive_is_enough(self) -> bool:
-        """Whatever any user was told is in the archive, which is here."""
+        """Whether the archive is here and holds whatever any user was told."""
         archived = any(source.kind is SourceKind.ARCHIVE for source in self._evidence.sources)
         return self._evidence.archived_answers and archived
 
     # Jobs
 
-    def _take_finals(self) -> None:
+    def _merge_finals(self) -> None:
         found: dict[str, dict[str, FinalRecord]] = defaultdict(dict)
         for source in self._evidence.sources:
             for job, final in source.finals.items():
@@ -209,7 +154,7 @@
             else:
                 self._mark_unresolved(job, UnresolvedKind.OUTCOME, "in doubt before", states[records.UNRESOLVED].tasks)
 
-    def _take_jobs(self) -> None:
+    def _merge_jobs(self) -> None:
         cancelled: dict[str, JobRecord] = {}
         known: dict[str, JobRecord] = {}
         for source in sorted(self._evidence.sources, key=_age):
@@ -229,7 +174,7 @@
             elif newest is not None and isinstance(newest.record, JobRecord):
                 self._out.jobs[job] = newest.record
             elif self._archive_is_enough:
-                self._out.jobs[job] = record  # nobody was told that it is over
+                self._out.jobs[job] = record  # no user was told that it is terminal
                 self._reopened.add(job)
             else:
                 self._mark_unresolved(
@@ -243,21 +188,21 @@
 
     # Tasks
 
-    def _take_allocations(self) -> None:
+    def _merge_allocations(self) -> None:
         for key, found in sorted(self._alive.items()):
             if isinstance(found.record, AllocationRecord):
                 allocation = AllocationKey.parse(key)
                 if allocation.job in self._out.jobs:
                     for entry in found.record.tasks:
-                        self._take_entry(allocation, entry)
+                        self._add_entry(allocation, entry)
 
         for source in self._copies if self._reopened else ():
             for key, found in sorted(source.alive.items()):
                 if isinstance(found.record, AllocationRecord) and AllocationKey.parse(key).job in self._reopened:
                     for entry in found.record.tasks:
-                        self._take_entry(AllocationKey.parse(key), entry)
+                        self._add_entry(AllocationKey.parse(key), entry)
 
-    def _take_entry(self, allocation: AllocationKey, entry: TaskEntry) -> None:
+    def _add_entry(self, allocation: AllocationKey, entry: TaskEntry) -> None:
         task = self._tasks[allocation.job][entry.index]
         task.ended = task.ended or entry.state == records.ENDED
         if entry.attempt >= task.attempt:
@@ -275,13 +220,13 @@
             job, index = key
             record = self._out.jobs.get(job)
             if record is None:
-                self._note_unknown(job, heartbeat, seen)
+                self._mark_unknown_job(job, heartbeat, seen)
             elif index >= record.spec.tasks:
                 self._out.set_aside += 1
             else:
-                self._take_seen(record, heartbeat, seen, self._tasks[job][index])
+                self._add_status(record, heartbeat, seen, self._tasks[job][index])
 
-    def _take_seen(self, record: JobRecord, heartbeat: wire.Heartbeat, seen: wire.TaskStatus, task: _Task) -> None:
+    def _add_status(self, record: JobRecord, heartbeat: wire.Heartbeat, seen: wire.TaskStatus, task: _Task) -> None:
         task.attempt = max(task.attempt, seen.attempt)
         task.zone = task.zone or heartbeat.zone
         if seen.state != wire.EXITED:
@@ -290,16 +235,16 @@
         elif seen.exit_reason == wire.REASON_DONE and record.spec.kind != wire.SERVICE:
             task.ended = True
 
-    def _note_unknown(self, job: str, heartbeat: wire.Heartbeat, seen: wire.TaskStatus) -> None:
-        """A task of a job that is over leaves by the ordinary way; one of a job that nobody knows is told as well."""
+    def _mark_unknown_job(self, job: str, heartbeat: wire.Heartbeat, seen: wire.TaskStatus) -> None:
+        """Marks a job without any record. A task of a terminal job is stopped later by its partition's owner."""
         if job not in self._out.finals and seen.state != wire.EXITED:
             self._mark_unresolved(job, UnresolvedKind.UNKNOWN_JOB, f"runs on {heartbeat.machine}", 0)
 
     def _placed(self, task: _Task) -> _Placement | None:
-        """Where the task is, or may be."""
+        """Where the task runs, or may run; None if it runs nowhere."""
         place = _higher(task.recorded, task.reported)
         if place is not None and place is task.recorded and place.machine in self._evidence.heartbeats:
-            return task.reported  # its machine was heard, and lacks it
+            return task.reported  # its machine has sent a heartbeat without it
         return place
 
     # Records
@@ -308,14 +253,14 @@
         record, tasks = self._out.jobs[job], self._tasks.get(job, {})
         admitted = max(tasks, default=-1) + 1
         by_zone: dict[str, list[TaskEntry]] = defaultdict(list)
-        spare = next((task.zone for _, task in sorted(tasks.items()) if task.zone), "")
+        any_zone = next((task.zone for _, task in sorted(tasks.items()) if task.zone), "")
         attempt = max((task.attempt for task in tasks.values()), default=0)
         for index in range(admitted):
             task = tasks.get(index) or _Task()
             if record.spec.kind == wire.GANG:
-                task.attempt = attempt  # one for all members
+                task.attempt = attempt  # all members of a gang have the same
             place = None if task.ended else self._placed(task)
-            zone = place.zone if place is not None else task.zone or spare
+            zone = place.zone if place is not None else task.zone or any_zone
             by_zone[zone].append(self._entry(index, task, place))
         chunk = 0
         for zone, entries in sorted(by_zone.items()):
@@ -323,27 +268,27 @@
                 allocation = AllocationKey(zone, job, chunk)
                 self._out.allocations[allocation] = AllocationRecord(entries[at : at + self._tasks_per_record])
                 chunk += 1
-        if 0 < admitted < record.spec.tasks:  # one that is admitted as a whole needs no count
+        if 0 < admitted < record.spec.tasks:  # a job that is admitted as a whole needs no record
             self._out.admitted[job] = AdmissionRecord(admitted, chunk)
 
     def _entry(self, index: int, task: _Task, place: _Placement | None) -> TaskEntry:
         if task.ended:
             return TaskEntry(index, records.ENDED, task.attempt)
         if place is not None:
-            return TaskEntry(index, records.ASSIGNED, place.attempt, place.machine, place.session)
+            return TaskEntry(index, records.ASSIGNED, place.attempt, place.machine, place.incarnation)
         unseen = ATTEMPTS_UNSEEN if self._out.uncertain else 0
         return TaskEntry(index, records.RETURNED, task.attempt + unseen)
 
 
 def _age(source: Source) -> tuple[bool, int, str, str]:
-    """Older copies first."""
+    """Sort key: older copies first."""
     return source.kind is not SourceKind.ANCESTOR, source.revision, source.kind.value, source.name
 
 
 def _higher(one: _Placement | None, other: _Placement | None) -> _Placement | None:
-    """The placement of the higher attempt; of equal ones that on the later session, then by name."""
+    """The placement of the higher attempt; of equal ones, that on the later incarnation, then by the machine's name."""
     if one is None or other is None:
         return one or other
-    if (one.attempt, one.session) != (other.attempt, other.session):
-        return max(one, other, key=lambda place: (place.attempt, place.session))
+    if (one.attempt, one.incarnation) != (other.attempt, other.incarnation):
+        return max(one, other, key=lambda place: (place.attempt, place.incarnation))
     return min(one, other, key=lambda place: place.machine)
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of the state service about histories, and what they settle."""
+"""What operators read about histories in the state service, and what they decide and delete there."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 import msgspec
 
+from spurarch.errors import SpurarchError
 from spurarch.protocol import wire
 from spurarch.recovery.claim import ClaimRecord
-from spurarch.recovery.merge import UnresolvedOutcome
+from spurarch.recovery.rebuilt_records import UnresolvedOutcome
 from spurarch.storage import records
 from spurarch.storage.history import (
     ARCHIVED,
@@ -34,57 +35,57 @@
 PURGE_AT_ONCE = 4  # no state service allows fewer changes in a transaction
 
 
-class OperatorError(Exception):
-    """A command can't be carried out; the message says why."""
+class OperatorError(SpurarchError):
+    """A command can't be executed; the message says why."""
 
 
 @dataclass(slots=True)
 class HistoryStatus:
-    """What the state service says of its histories."""
+    """What the state service says about its histories."""
 
     history: HistoryRecord | None = None
     is_open: bool = False
     revision: int = 0
     archived: ArchivedRecord | None = None
     claim: ClaimRecord | None = None
-    doubts: list[UnresolvedOutcome] = field(default_factory=list)
+    unresolved: list[UnresolvedOutcome] = field(default_factory=list)
 
 
 async def read_status(store: Store) -> HistoryStatus:
-    """Reads it."""
-    out = HistoryStatus()
+    """Reads the status. Raises `StoreUnavailableError`, as all functions here."""
+    status = HistoryStatus()
     page = await store.page(CURRENT, None)
-    out.revision = page.revision
+    status.revision = page.revision
     for item in page.items:
         if item.key == CURRENT:
-            out.history = decode_history(item.value)
-    if out.history is not None:
-        out.is_open = await store.get(OPEN + out.history.name) is not None
-        out.doubts = await read_doubts(store, out.history)
+            status.history = decode_history(item.value)
+    if status.history is not None:
+        status.is_open = await store.get(OPEN + status.history.name) is not None
+        status.unresolved = await read_unresolved(store, status.history)
     archived, claim = await store.get(ARCHIVED), await store.get(CLAIM)
-    out.archived = decode_archived(archived.value) if archived is not None else None
-    out.claim = msgspec.json.decode(claim.value, type=ClaimRecord) if claim is not None else None
-    return out
+    status.archived = decode_archived(archived.value) if archived is not None else None
+    status.claim = msgspec.json.decode(claim.value, type=ClaimRecord) if claim is not None else None
+    return status
 
 
-async def read_doubts(store: Store, history: HistoryRecord) -> list[UnresolvedOutcome]:
-    """What is in doubt in a history."""
-    out: list[UnresolvedOutcome] = []
+async def read_unresolved(store: Store, history: HistoryRecord) -> list[UnresolvedOutcome]:
+    """Reads the unresolved outcomes of a history."""
+    unresolved: list[UnresolvedOutcome] = []
     after: str | None = None
     while True:
         page = await store.page(history.prefix + UNRESOLVED_PREFIX, after)
-        out += [msgspec.json.decode(item.value, type=UnresolvedOutcome) for item in page.items]
+        unresolved += [msgspec.json.decode(item.value, type=UnresolvedOutcome) for item in page.items]
         if not page.more or not page.items:
-            return out
+            return unresolved
         after = page.items[-1].key
 
 
 async def declare_first_history(
     store: Store, adopt: bool, archived_answers: bool = False, installation: str = ""
 ) -> HistoryRecord:
-    """Says that the state service's data is a new installation, or one that had no recovery so far.
+    """Declares the state service's data a new installation, or one that had no recovery so far.
 
-    Nobody else can tell a new installation from one that was wiped, so no controller ever does this by itself.
+    Only an operator can tell a new installation from one that was wiped, so no controller ever does this by itself.
     """
     if await store.get(CURRENT) is not None:
         raise OperatorError("there is a history already (recovery status)")
@@ -103,11 +104,11 @@
     return history
 
 
-async def settle_job(store: Store, job: str, state: str) -> None:
-    """Decides what a job in doubt ended as."""
+async def resolve_job(store: Store, job: str, state: str) -> None:
+    """Decides the final state of a job whose outcome is unresolved."""
     history = await _history(store)
-    doubt = await store.get(history.prefix + UNRESOLVED_PREFIX + job)
-    if doubt is None:
+    unresolved = await store.get(history.prefix + UNRESOLVED_PREFIX + job)
+    if unresolved is None:
         raise OperatorError(f"{job} is not in doubt")
     key = history.prefix + records.FINAL + job
     known = await store.get(key)
@@ -115,13 +116,19 @@
     if final.state not in (records.UNRESOLVED, state):
         raise OperatorError(f"{job} is {final.state} on record")
     guards = await _guards(store, history)
-    guards += [wire.Guard(key, known.version if known is not None else 0), wire.Guard(doubt.key, doubt.version)]
-    changes: list[wire.Put | wire.Delete] = [wire.Put(key, FinalRecord(state, final.tasks)), wire.Delete(doubt.key)]
+    guards += [
+        wire.Guard(key, known.version if known is not None else 0),
+        wire.Guard(unresolved.key, unresolved.version),
+    ]
+    changes: list[wire.Put | wire.Delete] = [
+        wire.Put(key, FinalRecord(state, final.tasks)),
+        wire.Delete(unresolved.key),
+    ]
     await _commit(store, wire.Txn(guards, changes))
 
 
-async def settle_unknown_jobs(store: Store) -> None:
-    """Says that jobs which are not on record were never accepted: they get 404 from now on."""
+async def resolve_unknown_jobs(store: Store) -> None:
+    """Declares that jobs which are not on record were never accepted: requests for them get 404 from then on."""
     history = await _history(store)
     if not history.uncertain:
         raise OperatorError("nothing is uncertain")
@@ -133,15 +140,15 @@
 
 
 async def purge(store: Store) -> int:
-    """Deletes what earlier histories left in the state service; how many keys."""
+    """Deletes what earlier histories left in the state service; returns the number of keys."""
     history = await _history(store)
     guards = await _guards(store, history)
     count, after = 0, None
     while True:
         page = await store.page("", after)
-        old = [item.key for item in page.items if _is_left_over(item.key, history)]
-        for at in range(0, len(old), PURGE_AT_ONCE):
-            batch = old[at : at + PURGE_AT_ONCE]
+        obsolete = [item.key for item in page.items if _is_obsolete(item.key, history)]
+        for at in range(0, len(obsolete), PURGE_AT_ONCE):
+            batch = obsolete[at : at + PURGE_AT_ONCE]
             await _commit(store, wire.Txn(guards, [wire.Delete(key) for key in batch]))
             count += len(batch)
         if not page.more or not page.items:
@@ -149,10 +156,11 @@
         after = page.items[-1].key
 
 
-def _is_left_over(key: str, history: HistoryRecord) -> bool:
-    """Nobody who works in the history reads the key. The first history's leader keeps earlier versions from leading.
+def _is_obsolete(key: str, history: HistoryRecord) -> bool:
+    """Whether no controller that works in the history reads the key.
 
-    While the history is open, nothing is being rebuilt: what marks a rebuilding is left from one that ended on its way.
+    The first history's leader record is kept, since it keeps earlier versions from leading. While the history is open,
+    nothing is being rebuilt: the key of a rebuild is left from one that was abandoned.
     """
     if history.number == 1 or key.startswith(HISTORY):
         return key.startswith(REBUILD)
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud: types and prices, rentals, returns and the list, under the published rate."""
+"""Client of the cloud: machine types and prices, scale out, scale in and the list of machines, rate-limited."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 import curio
 import msgspec
 
+from spurarch.errors import SpurarchError
 from spurarch.protocol import wire
 from spurarch.storage.rate_limits import TokenBucket
 from spurarch.transport.http import NoAnswerError
@@ -17,19 +18,21 @@
 log = logging.getLogger(__name__)
 
 CALL_S = 5.0
-RATE_SHARE = 0.95
+LIST_PAGE = 500  # machines
+RATE_SHARE = 0.95  # of the published rate, used by all controllers together
+INITIAL_SHARE_ALONE, INITIAL_SHARE = 0.9, 0.6  # of the published rate, until the first `set_share`
 
 
-class CloudError(Exception):
-    """A call was not served. `unsure` says that it may have been, or may be later."""
+class CloudError(SpurarchError):
+    """A call was not served; with `outcome_unknown`, it may have been executed, or may be later."""
 
     def __init__(self, reason: str, outcome_unknown: bool = False) -> None:
         super().__init__(reason)
         self.outcome_unknown = outcome_unknown
 
 
-class NoCapacityError(Exception):
-    """The cloud has no such machine now."""
+class NoCapacityError(SpurarchError):
+    """The cloud has no machine of the requested type now."""
 
 
 class Cloud:
@@ -37,16 +40,16 @@
 
     def __init__(self, client: Requests, rps: float, controllers: int) -> None:
         self._client, self._rps = client, rps
-        self._bucket = TokenBucket(rps * 0.6 if controllers > 1 else rps * 0.9, max(1.0, rps))
+        self._bucket = TokenBucket(rps * (INITIAL_SHARE if controllers > 1 else INITIAL_SHARE_ALONE), max(1.0, rps))
 
     def set_share(self, share: float) -> None:
-        """This controller's share of the published rate."""
+        """Sets this controller's share of the published rate."""
         rate = RATE_SHARE * self._rps * share
         self._bucket.set_rate(time.monotonic(), rate, max(1.0, 2 * rate))
 
     async def _call(
         self, method: str, target: str, body: bytes | None, still_allowed: Callable[[], bool] = lambda: True
-    ) -> tuple[int, bytes]:
+    ) -> bytes:
         while delay := self._bucket.delay(time.monotonic(), 1):
             await curio.sleep(delay)
         if not still_allowed():
@@ -61,35 +64,38 @@
             raise NoCapacityError
         if status != 200:
             raise CloudError(f"status {status}")
-        return status, answer
+        return answer
 
     async def types(self) -> list[wire.MachineType]:
-        """Types and current prices."""
-        _, answer = await self._call("GET", wire.PATH_TYPES, None)
+        """Reads machine types and current prices. Raises `CloudError`."""
+        answer = await self._call("GET", wire.PATH_TYPES, None)
         return _decode(wire.types_decoder, answer).types
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """All machines on the list, which lags."""
-        out: list[wire.ListedMachine] = []
+        """Reads the list of all machines, which lags behind requests. Raises `CloudError`."""
+        machines: list[wire.ListedMachine] = []
         after: str | None = None
         while True:
-            _, answer = await self._call("GET", f"{wire.PATH_MACHINES}?{wire.query(after=after, limit=500)}", None)
+            answer = await self._call("GET", f"{wire.PATH_MACHINES}?{wire.query(after=after, limit=LIST_PAGE)}", None)
             page = _decode(wire.list_decoder, answer)
-            out += page.machines
+            machines += page.machines
             if not page.more or not page.machines:
-                return out
+                return machines
             after = page.machines[-1].id
 
     async def scale_out(self, request: wire.ScaleOutRequest, still_allowed: Callable[[], bool]) -> list[str]:
-        """Rents machines; the same request may be repeated without renting twice.
+        """Rents machines and returns their names; the same request may be repeated without renting twice.
 
-        `still` is asked at the last moment whether the caller may do this.
+        `still_allowed` is called at the last moment. Raises `CloudError`, `NoCapacityError`.
         """
-        _, answer = await self._call("POST", wire.PATH_MACHINES, wire.encode(request), still_allowed)
+        answer = await self._call("POST", wire.PATH_MACHINES, wire.encode(request), still_allowed)
         return _decode(wire.names_decoder, answer).machines
 
     async def release(self, names: list[str], still_allowed: Callable[[], bool]) -> None:
-        """Returns up to 100 machines; they are gone when this ends without an error. `still` as in `rent`."""
+        """Releases up to 100 machines, which are gone unless this raises `CloudError`.
+
+        For `still_allowed` see `scale_out`.
+        """
         await self._call("POST", wire.PATH_RELEASE, wire.encode(wire.MachineNames(names)), still_allowed)
 
 
--- a/spurarch/storage/errors.py
+++ b/spurarch/storage/errors.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+from spurarch.errors import SpurarchError
 
-class StoreUnavailableError(Exception):
-    """The state service did not serve a call: it may be tried again later."""
 
+class StoreUnavailableError(SpurarchError):
+    """The state service did not serve a call; it may be tried again later."""
 
-class RevisionTooOldError(Exception):
+
+class RevisionTooOldError(SpurarchError):
     """A watch asked for changes that the state service has compacted: all records have to be read again."""
 
 
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -1,11 +1,12 @@
 """Which history of the state service's data this controller works in, and the signs that the data was lost.
 
-A *history* is everything that was written since the state service was last empty or rebuilt. Each has a random name, and
-all but the first keep their records under a key prefix of their own: a transaction of an earlier history, carried out
-late, then changes nothing that anybody reads, even where revisions coincide. A marker `history/open/<name>` exists for
-as long as a history may be written to; every transaction has it as a condition, so a history is sealed by deleting it.
+A *history* is everything that was written since the state service was last empty or rebuilt. Each has a random name,
+and all but the first keep their records under a key prefix of their own. A transaction of an earlier history that is
+executed late then changes nothing that anybody reads, even where revisions coincide. A marker `history/open/<name>`
+exists for as long as a history may be written to. Every transaction has it as a condition, so deleting the marker seals
+the history.
 
-Off (no `HistoryGuard` in the client of the state service), none of this is read, written or asked for.
+Where recovery is off, the client of the state service has no `HistoryGuard` and none of this is read or written.
 """
 
 from __future__ import annotations
@@ -28,19 +29,24 @@
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
 OPEN, REBUILD = "history/open/", "history/rebuild/"
 PACKED = "packed/"
-UNRESOLVED_PREFIX = "doubt/"  # records under a history's prefix that only operators read
-UNARCHIVED = (MEMBER, LEADER)  # of no use once they are old
-VERIFY_AFTER_S = 2.0  # without a read: the marker is read again before an answer is believed
+UNRESOLVED_PREFIX = "doubt/"  # unresolved outcomes, under a history's prefix; only operators read them
+UNARCHIVED = (MEMBER, LEADER)  # prefixes of records that are of no use later
+VERIFY_AFTER_S = 2.0  # without a read, the marker is read again before a response is trusted
 
 
 class HistoryRecord(Struct):
     """The history that is in force.
 
-    `epoch` lies above every partition epoch that an earlier history can have given. `packed` is the number of records
-    that hold the final standings of earlier histories. If `seeded`, it began with records that share values. While `uncertain`, jobs may have been accepted that nobody knows.
-    `parent` is the history that this one was rebuilt from. In one with `archived_answers`, users are told that a job is
-    accepted, cancelled or over only once the archive holds the record of it. `installation` is the operators' name for
-    whose records these are.
+    Attributes:
+        name: Random name.
+        number: 1 for the first history of an installation, one more for each that follows.
+        epoch: Above every partition epoch that an earlier history can have given.
+        packed: Number of records that hold the final states of jobs of earlier histories.
+        uncertain: Jobs may have been accepted that are not on record.
+        parent: Name of the history that this one was rebuilt from.
+        archived_answers: Users are told that a job is accepted, cancelled or terminal only once the archive holds it.
+        installation: The operators' name for the owner of these records.
+        seeded: The history began with records that share values.
     """
 
     name: str
@@ -55,7 +61,7 @@
 
     @property
     def prefix(self) -> str:
-        """What stands before the keys of this history's records."""
+        """Prefix of the keys of this history's records in the state service."""
         return "" if self.number == 1 else f"h{self.number}.{self.name}/"
 
 
@@ -66,7 +72,7 @@
 
 
 class ArchivedRecord(Struct):
-    """All changes of a history up to a revision are in the archive."""
+    """Says that the archive holds all changes of a history up to a revision."""
 
     name: str
     revision: int
@@ -74,13 +80,13 @@
 
 
 class PackedFinals(Struct):
-    """Final standings of an earlier history: by job, state and number of tasks."""
+    """Final states of jobs of an earlier history: by job id, the state and the number of tasks."""
 
     jobs: dict[str, tuple[str, int]]
 
 
 class HistoryPhase(enum.Enum):
-    """Whether the records may be believed."""
+    """Whether the records may be trusted."""
 
     UNKNOWN = "unknown"  # just started
     OPEN = "open"
@@ -90,7 +96,7 @@
 _NEXT = {
     HistoryPhase.UNKNOWN: {HistoryPhase.OPEN, HistoryPhase.LOST},
     HistoryPhase.OPEN: {HistoryPhase.LOST},
-    HistoryPhase.LOST: set(),  # a controller begins anew in the history that follows
+    HistoryPhase.LOST: set(),  # a controller starts again in the history that follows
 }
 
 
@@ -103,22 +109,22 @@
 
 
 def decode_history(raw: msgspec.Raw | bytes) -> HistoryRecord:
-    """The value of `CURRENT`."""
+    """Decodes the value of `CURRENT`; raises `msgspec.DecodeError`."""
     return _record_decoder.decode(raw)
 
 
 def decode_archived(raw: msgspec.Raw | bytes) -> ArchivedRecord:
-    """The value of `ARCHIVED`."""
+    """Decodes the value of `ARCHIVED`; raises `msgspec.DecodeError`."""
     return _archived_decoder.decode(raw)
 
 
 def decode_packed(raw: msgspec.Raw | bytes) -> PackedFinals:
-    """The value of a record of packed final standings."""
+    """Decodes a record of packed final states; raises `msgspec.DecodeError`."""
     return _packed_decoder.decode(raw)
 
 
 def is_record_key(key: str) -> bool:
-    """A key of some history's records; others may keep theirs in the same service."""
+    """Whether a key is of some history's records; other programs may keep keys in the same service."""
     prefix, _, rest = key.partition("/")
     if _LATER_PREFIX.fullmatch(prefix):
         key = rest
@@ -126,7 +132,7 @@
 
 
 def packed_key(job: str, records: int) -> str:
-    """The record that holds the final standing of a job of an earlier history."""
+    """Key of the record that holds the final state of a job of an earlier history."""
     return f"{PACKED}{zlib.crc32(job.encode()) % records}"
 
 
@@ -134,7 +140,8 @@
     """Fails closed on any sign that the state service's data was lost.
 
     The service is strongly consistent, so a revision below one that was seen *before* the request was sent can only
-    mean that data was lost: an answer that merely travelled slowly is compared with what was known as it was asked for.
+    mean that data was lost. A response that is merely delayed is compared with what was known when its request was
+    sent.
     """
 
     def __init__(self) -> None:
@@ -142,20 +149,20 @@
         self.reason = "the history is not known yet"
         self.record = HistoryRecord("", 1)
         self.highest = 0  # revision seen
-        self.recorded = 0  # newest revision seen that changed what is archived
-        self.archived = 0  # revision that the archive covers
-        self.verified_at = float("-inf")  # the marker was in force then
-        self._open_version = 0
+        self.recorded = 0  # newest revision seen that changed a record that is archived
+        self.archived = 0  # revision up to which the archive holds all changes
+        self.verified_at = float("-inf")  # monotonic clock; the marker was in force then
+        self._open_version = 0  # revision of the marker
 
     def advance(self, phase: HistoryPhase, reason: str) -> bool:
-        """Changes the phase if that is a step that it can take."""
+        """Changes the phase if that transition is allowed; False if it is not."""
         if phase not in _NEXT[self.phase]:
             return False
         self.phase, self.reason = phase, reason
         return True
 
     def open(self, record: HistoryRecord, open_version: int, revision: int, now: float) -> bool:
-        """The history is in force: its marker was read."""
+        """Opens the history whose marker was read; False if this controller has another one already."""
         if not self.advance(HistoryPhase.OPEN, "open"):
             return False
         self.record, self._open_version = record, open_version
@@ -164,12 +171,12 @@
         return True
 
     def lose(self, reason: str) -> bool:
-        """There is a sign of loss; True if it is the first."""
+        """Records a sign of loss; True if it is the first."""
         return self.advance(HistoryPhase.LOST, reason)
 
     @property
     def is_open(self) -> bool:
-        """The records may be believed."""
+        """Whether the records may be trusted."""
         return self.phase is HistoryPhase.OPEN
 
     @property
@@ -178,13 +185,16 @@
         return OPEN + self.record.name
 
     def check_open(self) -> int:
-        """The highest revision seen so far, for `check_revision`; raises while the records may not be believed."""
+        """The highest revision seen so far, for `check_revision`; raises `HistoryClosedError` unless open."""
         if self.phase is not HistoryPhase.OPEN:
             raise HistoryClosedError(self.reason)
         return self.highest
 
     def check_revision(self, before: int, revision: int, now: float) -> None:
-        """An answer shows a revision; `before` is what `check_open` gave as the request was sent."""
+        """Checks the revision of a response; `before` is what `check_open` returned before the request.
+
+        Raises `HistoryClosedError`.
+        """
         if revision < before:
             self.lose(f"revision {revision} after {before}")
         self.check_open()
@@ -192,23 +202,23 @@
         self.verified_at = now
 
     def check_marker(self, version: int, now: float) -> None:
-        """The marker was read, or is not there (0)."""
+        """Checks the revision of the marker that was read, 0 if there is none. Raises `HistoryClosedError`."""
         if version != self._open_version:
             self.lose(f"marker of history {self.record.name} at {version}, not {self._open_version}")
         self.check_open()
         self.verified_at = now
 
-    def note_recorded(self, keys: Iterable[str], revision: int) -> None:
-        """Records have changed at a revision; the archive will cover it if it holds any of them."""
+    def record_change(self, keys: Iterable[str], revision: int) -> None:
+        """Remembers the revision of a change if the archive will hold any of the keys."""
         if revision > self.recorded and any(not key.startswith(UNARCHIVED) for key in keys):
             self.recorded = revision
 
     def needs_verification(self, now: float) -> bool:
-        """Nothing was read for so long that another history may have begun and grown past ours."""
+        """Whether nothing was read for so long that another history may have begun and have a higher revision."""
         return now - self.verified_at > VERIFY_AFTER_S
 
-    def bound(self, txn: wire.Txn) -> wire.Txn:
-        """A transaction on this history's own keys, on condition that the history is open."""
+    def guarded_transaction(self, txn: wire.Txn) -> wire.Txn:
+        """Translates a transaction to this history's keys and adds the condition that the history is open."""
         guards = [wire.Guard(self.physical(guard.key), guard.version) for guard in txn.guards]
         changes: list[wire.Put | wire.Delete] = []
         for change in txn.then:
@@ -218,8 +228,8 @@
                 changes.append(wire.Delete(self.physical(change.key)))
         return wire.Txn([*guards, wire.Guard(self.marker, self._open_version)], changes)
 
-    def judge(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
-        """What the outcome of a transaction says: nothing is confirmed to anybody once there is a sign of loss."""
+    def check_result(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
+        """Checks the result of a transaction; once there is a sign of loss, a commit is not confirmed any more."""
         if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
             self.lose(f"history {self.record.name} was sealed")
         if result.status not in (TransactionStatus.COMMITTED, TransactionStatus.CONFLICT):
@@ -237,51 +247,54 @@
         return TransactionResult(result.status, result.revision, failed)
 
     def physical(self, key: str) -> str:
-        """A record's key as the state service knows it."""
+        """Returns the key in the state service of a record's key."""
         return self.record.prefix + key
 
     def logical(self, key: str) -> str | None:
-        """A key of the state service as the records' readers know it; None if it is not one of this history's."""
+        """Returns the record's key of a key in the state service; None if it is not one of this history's."""
         prefix = self.record.prefix
         if not key.startswith(prefix) or key.startswith(HISTORY):
             return None
         return key[len(prefix) :]
 
-    def take_event(self, event: wire.Event) -> wire.Event | None:
-        """A change that a watch showed, as one of this history's records, or None if it is not."""
+    def process_event(self, event: wire.Event) -> wire.Event | None:
+        """Translates a change from a watch to this history's keys; None if it is not of one of its records.
+
+        Changes that are a sign of loss are noticed here.
+        """
         key = event.put or event.delete or ""
         if key.startswith(HISTORY):
-            self._take_own(event)
+            self._process_history_event(event)
             return None
         logical = self.logical(key)
         if logical is None:
             if event.put is not None:
-                self._judge_foreign(key)
+                self._check_foreign_write(key)
             return None
-        self.note_recorded((logical,), event.version)
+        self.record_change((logical,), event.version)
         if event.put is not None:
             return wire.Event(event.version, logical, None, event.value)
         return wire.Event(event.version, None, logical)
 
-    def _judge_foreign(self, key: str) -> None:
-        """Nobody writes outside the history in force, but a controller without recovery that tries to join.
+    def _check_foreign_write(self, key: str) -> None:
+        """A write outside the history in force is a sign of loss, except by a controller without recovery that joins.
 
-        Data that went back to an earlier history may have a *higher* revision, since each history counts anew. What is
-        shown after ours is then of that history.
+        Data that was reset to an earlier history may have a *higher* revision, since each history counts from its own
+        start. The changes after the revision known here are then of that history.
         """
         if is_record_key(key) and not key.startswith(UNARCHIVED):
             self.lose(f"{key} was written outside history {self.record.name}")
 
-    def _take_own(self, event: wire.Event) -> None:
+    def _process_history_event(self, event: wire.Event) -> None:
         if event.delete == self.marker:
             self.lose(f"history {self.record.name} was sealed")
         elif event.put in (ARCHIVED, CURRENT):
             try:
-                self._apply_changes(event)
+                self._update(event)
             except msgspec.DecodeError:
                 return
 
-    def _apply_changes(self, event: wire.Event) -> None:
+    def _update(self, event: wire.Event) -> None:
         if event.put == ARCHIVED:
             archived = decode_archived(event.value)
             if archived.name == self.record.name:
@@ -289,4 +302,4 @@
             return
         current = decode_history(event.value)
         if current.name == self.record.name:
-            self.record = current  # an operator has settled what was uncertain
+            self.record = current  # an operator has declared that no job is missing
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -1,7 +1,9 @@
-"""What the state service keeps: keys and the typed value under each.
+"""The records in the state service: their keys and the type of the value under each.
 
-Everything that is not yet over lives under `live/`; a job that is over leaves one small record under `final/`, so a
-starting controller reads what is alive and nothing else.
+Records that are in use are under `live/`. A terminal job leaves one small record under `final/`, so a controller that
+starts reads the records in use and nothing else.
+
+Some fields are stored under an older name, given by `field(name=...)`.
 """
 
 from __future__ import annotations
@@ -22,28 +24,28 @@
 
 
 class TaskState(enum.IntEnum):
-    """Where an admitted task stands, with the number that is stored."""
+    """State of an admitted task, with the number that is stored."""
 
     FREE = 0  # waits for a machine
     ASSIGNED = 1  # has a machine
     ENDED = 2
-    RETURNED = 3  # given back to the leader by its partition
+    RETURNED = 3  # left to the leader by its partition, to be allocated to another
 
 
 # Bound once: a member of an enum takes several times as long to look up, and decisions compare millions of them.
 FREE, ASSIGNED, ENDED, RETURNED = TaskState
 
-UNRESOLVED = "in doubt"  # state of a final record: the job is over or was lost, and an operator has to say which
+UNRESOLVED = "in doubt"  # state of a final record: an operator has to decide how the job ended
 
 GANG_VERSION = 1  # the first version that starts gangs as a whole
 PROGRAM_VERSION = GANG_VERSION  # written into this process's member record
 
 
 class JobRecord(Struct):
-    """A job that is not over.
+    """A job that is not terminal.
 
-    `at` is the wall clock of its submission and only orders jobs; `cancelled_at` that of its cancellation, by which a
-    owner that learns of it late knows what is left of `cancel_s`.
+    `submitted_at` is the wall clock in seconds of its submission and only orders jobs. `cancelled_at` is that of its
+    cancellation: a partition owner that learns of it late computes from it what is left of `cancel_s`.
     """
 
     spec: Submission
@@ -55,7 +57,7 @@
 class AdmissionRecord(Struct, array_like=True):
     """How many tasks of a job were admitted, and in how many allocations.
 
-    Every admission writes it, so two of them can never both succeed, however late one is executed.
+    Every admission writes it, so two concurrent admissions can never both succeed, however late one is executed.
     """
 
     next: int
@@ -63,7 +65,7 @@
 
 
 class TaskEntry(Struct, array_like=True):
-    """One admitted task: free, assigned, ended, or returned to the leader."""
+    """One admitted task. `attempt` counts its starts; `incarnation` is that of the machine's worker."""
 
     index: int
     state: int = FREE  # a number of `TaskState`; one that a later version writes stays readable
@@ -73,13 +75,13 @@
 
 
 class AllocationRecord(Struct, array_like=True):
-    """Tasks of one job that one part has to run."""
+    """Tasks of one job that are allocated to one partition."""
 
     tasks: list[TaskEntry]
 
 
 class PartitionRecord(Struct):
-    """Which controller holds a part. The epoch rises with every change; `boot` names the process that claimed it."""
+    """The owner of a partition: a controller and its process. The epoch rises with every change of owner."""
 
     node: str
     epoch: int
@@ -87,12 +89,12 @@
 
 
 class MemberRecord(Struct):
-    """A controller that lives.
+    """A controller that is a member of the cluster.
 
-    `unfit` are the zones whose workers it seems not to hear, while others do; `dark` those of its parts whose workers
-    nobody hears.
+    `isolated_zones` are the zones from whose workers it receives no heartbeats, while other controllers do;
+    `unreachable_zones` those of its partitions whose workers no controller reaches.
 
-    `version` says what the process can do, see `PROGRAM_VERSION`. Versions before gangs neither write nor know it.
+    `version` says what the process can do, see `PROGRAM_VERSION`. Versions before gangs neither write nor read it.
     """
 
     node: str
@@ -111,7 +113,7 @@
 
 
 class MachineRecord(Struct):
-    """A machine that has reported to its partition's owner."""
+    """A machine whose worker has sent a heartbeat to its partition's owner."""
 
     type: str
     spot: bool
@@ -120,7 +122,7 @@
 
 
 class FinalRecord(Struct):
-    """A job that is over."""
+    """A terminal job: its state and number of tasks."""
 
     state: str
     tasks: int
@@ -153,7 +155,7 @@
 
 
 def decode(key: str, raw: bytes | msgspec.Raw) -> Record | None:
-    """The record under a key, or None for a key that is not ours."""
+    """Decodes the value of a key; None if the key is of no record. Raises `msgspec.DecodeError`."""
     for prefix, decoder in _DECODERS:
         if key.startswith(prefix):
             record: Record = decoder.decode(raw)
@@ -166,18 +168,18 @@
 
 
 def tasks_per_record(value_bytes: int) -> int:
-    """How many task entries an allocation record may hold, so that its value stays within a limit on values."""
+    """How many task entries an allocation record may hold so that its value has at most `value_bytes`."""
     return max(1, min(ALLOCATION_TASKS_MOST, value_bytes // ENTRY_BYTES_MOST))
 
 
 class _TeamOfJob(Struct):
-    """As much of a job's record as says whose it is."""
+    """The part of a job's record that names its team."""
 
     spec: SubmittedTeam
 
 
 def team_of(key: str, raw: bytes | msgspec.Raw) -> str | None:
-    """The team in a job's record that can't be read otherwise; None if that can't be told either."""
+    """The team in a job's record that can't be decoded as a whole; None if the team can't be decoded either."""
     if not key.startswith(JOB):
         return None
     try:
@@ -191,12 +193,12 @@
 
 
 def change_bytes(record: Record | None) -> int:
-    """No less than a change takes on the wire, without encoding it."""
+    """An upper bound of the bytes that a change takes in a request, without encoding it."""
     return _CHANGE_BYTES + (_ENTRY_BYTES * len(record.tasks) if isinstance(record, AllocationRecord) else 0)
 
 
 class AllocationKey(NamedTuple):
-    """Where an allocation belongs."""
+    """Key of an allocation: the zone of its partition, the job, and a number."""
 
     zone: str
     job: str
@@ -208,13 +210,13 @@
 
     @staticmethod
     def parse(key: str) -> AllocationKey:
-        """The inverse of str()."""
+        """Parses a key in the state service; the inverse of `str()`."""
         zone, job, chunk = key[len(ALLOCATION) :].rsplit("/", 2)
         return AllocationKey(zone, job, int(chunk))
 
 
 def job_of(key: str) -> str | None:
-    """The job that a key belongs to, if it does to one."""
+    """Id of the job that a key belongs to; None if it belongs to none."""
     if key.startswith(ALLOCATION):
         return AllocationKey.parse(key).job
     for prefix in (JOB, ADMISSION):
@@ -223,22 +225,22 @@
     return None
 
 
-SPLIT_FROM = 1_000_000  # chunks that come from splitting are counted from here, apart from those that admission numbers
+SPLIT_FROM = 1_000_000  # chunks from a split are numbered from here, apart from those of admissions
 SPLIT_STRIDE = 1000
 
 
 def pieces_of(record: AllocationRecord, most_tasks: int) -> int:
-    """How many changes it takes to write the record within a limit on its tasks."""
+    """How many changes it takes to write the record with at most `most_tasks` tasks under each key."""
     return max(1, ceil(len(record.tasks) / most_tasks))
 
 
 def split(
     allocation: AllocationKey, record: AllocationRecord, most_tasks: int
 ) -> list[tuple[AllocationKey, AllocationRecord]]:
-    """The record, or what takes its place if it holds more tasks than may be written to one key.
+    """Splits a record that holds more tasks than may be written under one key.
 
-    The first piece keeps the key. All pieces go into one transaction, so no reader of any version ever sees a task twice
-    or not at all; records from before a limit was lowered are split that way when they are next written.
+    The first piece keeps the key. All pieces have to be written in one transaction, so that no reader ever sees a task
+    twice or not at all. Records from before a limit was lowered are split this way when they are next written.
     """
     pieces = [record.tasks[at : at + most_tasks] for at in range(0, len(record.tasks), most_tasks)]
     out = [(allocation, AllocationRecord(pieces[0] if pieces else []))]
@@ -254,6 +256,6 @@
 
 
 def parse_machine_key(key: str) -> tuple[str, str]:
-    """Zone and name of a machine's key."""
+    """Zone and name of the machine with a key."""
     zone, name = key[len(MACHINE) :].split("/", 1)
     return zone, name
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -161,7 +161,7 @@
                 await self._apply_changes(await self.store.watch(self.state.revision, WATCH_MS))
                 self.synced_at = max(self.synced_at, sent)
                 self._reachable = True
-                await curio.sleep(max(WATCH_PAUSE_S, 1 / (READS_SHARE * self.store.request_rate)))
+                await curio.sleep(max(WATCH_PAUSE_S, 1 / (READS_SHARE * self.store.rates.request_rate)))
             except RevisionTooOldError:
                 log.info("watch revision compacted, reading all records again revision=%d", self.state.revision)
                 self.loaded = False
@@ -188,7 +188,7 @@
             except (StoreUnavailableError, RevisionTooOldError) as err:
                 log.debug("freshness read failed error=%s", err)
             await batch.finished.set()
-            await curio.sleep(max(SYNC_PAUSE_S, 1 / (READS_SHARE * self.store.request_rate)))
+            await curio.sleep(max(SYNC_PAUSE_S, 1 / (READS_SHARE * self.store.rates.request_rate)))
 
     async def sync(self, timeout_s: float = 1.5) -> bool:
         """Brings the copy up to what the state service held when this was called.
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -1,4 +1,4 @@
-"""Client of the state service: one method per call, every wait bounded, every rate kept."""
+"""Client of the state service: one method for each call, with a timeout, within the published rates."""
 
 from __future__ import annotations
 
@@ -7,13 +7,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-import curio
 import msgspec
 
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits
 from spurarch.storage.errors import RevisionTooOldError, StoreUnavailableError
-from spurarch.storage.rate_limits import AdaptiveFactor, TokenBucket, Urgency
+from spurarch.storage.rate_limits import StoreRates, Urgency
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Requests
@@ -24,22 +23,12 @@
 log = logging.getLogger(__name__)
 
 CALL_S = 1.5
-RATE_SHARE = 0.95
-BACK_OFF = 0.7
-RECOVER = 0.05
-RECOVER_BELOW_PUBLISHED = 0.02  # slower where the rate is known to fall for good
-LOG_EVERY_S = 10.0
-BACKLOG_LEVEL = 0.4  # level of the bucket of changes below which more are wanted
-
-
-def _floor(published: float, lowest: float) -> float:
-    """The least part of a published rate that the service will always allow; 0 if nothing is known of a lower one."""
-    return lowest / published if lowest < published else 0.0
+PAGE_KEYS = 1000
 
 
 @dataclass(slots=True)
 class _KeyRead:
-    """What stands under a key, and the revision of its last change; without a key, that of the service."""
+    """The value of a key and the revision of its last change; if the key does not exist, the service's revision."""
 
     item: wire.Item | None
     revision: int
@@ -48,9 +37,8 @@
 class Store:
     """The state service, as one controller sees it.
 
-    The published rates hold for all controllers together. Each takes the share that its duties ask for: an even split
-    would starve the busy one, and shares that add up to more would get everybody refused. Which duties there are is on
-    record, so the shares add up to one as long as the copies agree; a refusal lowers ours for a while.
+    With a `HistoryGuard`, every read and transaction is checked for signs that the service's data was lost, and keys
+    are translated to those of the history in force. Without one, calls are passed on as they are.
     """
 
     def __init__(
@@ -58,95 +46,25 @@
     ) -> None:
         self._client = client
         self.history = history  # only where lost data is to be noticed and rebuilt
-        rps, write_rps = limits.rps, limits.write_rps
-        self._rps, self._write_rps = rps, write_rps
-        even = RATE_SHARE / controllers
-        self._requests = TokenBucket(rps * even, rps * even)
-        self._writes = TokenBucket(write_rps * even, write_rps * even)
-        self._queues = {urgency: curio.Lock() for urgency in Urgency}
-        recovery = RECOVER if limits.next is None else RECOVER_BELOW_PUBLISHED
-        self._request_factor = AdaptiveFactor(_floor(rps, limits.lowest_rps), BACK_OFF, recovery)
-        self._write_factor = AdaptiveFactor(_floor(write_rps, limits.lowest_write_rps), BACK_OFF, recovery)
-        self.throttled_writes = 0  # transactions refused for a rate since this process started
-        self._logged_at = 0.0
-        self._recent, self._recent_at = 0.0, 0.0
-        self._made: list[float] = [0, 0, 0, 0.0]  # requests, changes, refusals, longest wait since the last line of log
+        self.rates = StoreRates(limits, controllers)
 
     @property
     def trusted(self) -> bool:
-        """Nothing says that the service's data was lost."""
+        """Whether there is no sign that the service's data was lost."""
         return self.history is None or self.history.is_open
 
     @property
     def reserved_guards(self) -> int:
-        """Conditions that are added to every transaction here."""
+        """Number of conditions that are added to every transaction here."""
         return 0 if self.history is None else 1
 
-    def set_shares(self, requests: float, writes: float) -> None:
-        """This controller's shares of the published rates."""
-        now = time.monotonic()
-        self._request_factor.recover()
-        self._write_factor.recover()
-        requests *= RATE_SHARE * self._request_factor.value
-        writes *= RATE_SHARE * self._write_factor.value
-        self._requests.set_rate(now, self._rps * requests, self._rps * requests)
-        self._writes.set_rate(now, self._write_rps * writes, self._write_rps * writes)
-        if now - self._logged_at >= LOG_EVERY_S:
-            span = now - self._logged_at
-            log.info(
-                "state service usage requests_per_second=%.1f changes_per_second=%.1f allowed_changes_per_second=%.1f refused=%d longest_wait_seconds=%.2f",
-                self._made[0] / span,
-                self._made[1] / span,
-                self._writes.rate,
-                self._made[2],
-                self._made[3],
-            )
-            self._logged_at, self._made = now, [0, 0, 0, 0.0]
-
-    def recent_writes(self) -> tuple[float, bool]:
-        """Changes a second since this was last asked, and whether more of them wait in line."""
-        now = time.monotonic()
-        rate = self._recent / max(0.1, now - self._recent_at)
-        self._recent, self._recent_at = 0.0, now
-        return rate, self._writes.level(now) < BACKLOG_LEVEL
-
-    @property
-    def request_rate(self) -> float:
-        """Requests a second that this controller may make."""
-        return self._requests.rate
-
-    @property
-    def write_rate(self) -> float:
-        """Changes a second that this controller may make."""
-        return self._writes.rate
-
-    def write_level(self) -> float:
-        """How much of a second's changes is left, as a share; small or negative while changes wait in line."""
-        return self._writes.level(time.monotonic())
-
-    def record_peer_throttled(self) -> None:
-        """Another controller's changes were refused: the rate is one for all."""
-        self._write_factor.decrease()
-
-    def _record_throttled(self, target: str) -> None:
-        log.info("state service rate limit exceeded")
-        self._made[2] += 1
-        self._request_factor.decrease()
-        self._requests.penalize(time.monotonic())
-        if target == wire.PATH_TXN:
-            # Nothing tells which of the two rates was exceeded.
-            self.throttled_writes += 1
-            self._write_factor.decrease()
-
     async def _call(
         self, method: str, target: str, body: bytes | None, wait_s: float = 0.0, urgency: Urgency = Urgency.STARTS
     ) -> tuple[int, bytes]:
-        while delay := self._requests.delay(time.monotonic(), 1, urgency):
-            await curio.sleep(delay)
-        self._made[0] += 1
+        await self.rates.wait_for_request(urgency)
         status, answer = await self._client.request(method, target, body, CALL_S + wait_s)
         if status == 429:
-            self._record_throttled(target)
+            self.rates.record_throttled(transaction=target == wire.PATH_TXN)
         return status, answer
 
     async def _read(self, target: str, wait_s: float = 0.0) -> tuple[int, bytes]:
@@ -159,7 +77,7 @@
         return status, answer
 
     async def get(self, key: str) -> wire.Item | None:
-        """Reads one key."""
+        """Reads one key; None if it does not exist. Raises `StoreUnavailableError`."""
         history = self.history
         if history is None:
             return (await self._get(key)).item
@@ -168,7 +86,7 @@
         if found.item is not None:
             found.item.key = key
             return found.item
-        # That something does not exist is told to users for good: the history has to be in force at this moment.
+        # A user may be told for good that the key does not exist: the history has to be in force at this moment.
         history.check_revision(before, found.revision, time.monotonic())
         await self._verify(history)
         return None
@@ -183,7 +101,7 @@
         return _KeyRead(item, item.version)
 
     async def page(self, prefix: str, after: str | None) -> wire.Page:
-        """Reads a page of keys."""
+        """Reads a page of the keys with a prefix, from the one that follows `after`. Raises `StoreUnavailableError`."""
         history = self.history
         if history is None:
             return await self._page(prefix, after)
@@ -192,26 +110,29 @@
         history.check_revision(before, page.revision, time.monotonic())
         for item in page.items:
             item.key = history.logical(item.key) or item.key
-            history.note_recorded((item.key,), item.version)
+            history.record_change((item.key,), item.version)
         return page
 
     async def _page(self, prefix: str, after: str | None) -> wire.Page:
-        status, answer = await self._read(f"{wire.PATH_KV}?{wire.query(prefix=prefix, after=after, limit=1000)}")
+        status, answer = await self._read(f"{wire.PATH_KV}?{wire.query(prefix=prefix, after=after, limit=PAGE_KEYS)}")
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
         return _decode(wire.page_decoder, answer)
 
     async def watch(self, after: int, wait_ms: int) -> wire.Changes:
-        """Every change after a revision, waiting up to `wait_ms` for the first."""
+        """Reads every change after a revision, waiting up to `wait_ms` milliseconds for the first.
+
+        Raises `RevisionTooOldError` or `StoreUnavailableError`.
+        """
         history = self.history
         if history is None:
             return await self._watch(after, wait_ms)
         before = await self._begin_read(history)
         changes = await self._watch(after, wait_ms)
         history.check_revision(before, changes.revision, time.monotonic())
-        taken = [history.take_event(event) for event in changes.events]
+        events = [history.process_event(event) for event in changes.events]
         history.check_open()
-        return wire.Changes(changes.revision, [event for event in taken if event is not None])
+        return wire.Changes(changes.revision, [event for event in events if event is not None])
 
     async def _watch(self, after: int, wait_ms: int) -> wire.Changes:
         target = f"{wire.PATH_WATCH}?{wire.query(prefix='', after=after, wait_ms=wait_ms)}"
@@ -223,23 +144,19 @@
         return _decode(wire.changes_decoder, answer)
 
     async def _begin_read(self, history: HistoryGuard) -> int:
-        """The highest revision seen before the read; the history's marker is read first if that is due."""
+        """The highest revision seen before the read; the history's marker is verified first if that is due."""
         before = history.check_open()
         if history.needs_verification(time.monotonic()):
             await self._verify(history)
         return before
 
     async def _verify(self, history: HistoryGuard) -> None:
-        """Reads the marker of the history."""
+        """Reads the marker of the history and checks that it is the one in force."""
         marker = await self._get(history.marker)
         history.check_marker(marker.revision if marker.item is not None else 0, time.monotonic())
 
-    def can_write_now(self, urgency: Urgency) -> bool:
-        """A transaction of this urgency would not have to wait in line."""
-        return not self._queues[urgency].locked() and self._writes.level(time.monotonic()) >= urgency.value
-
     async def txn(self, txn: wire.Txn, urgency: Urgency = Urgency.STARTS) -> TransactionResult:
-        """Runs a transaction."""
+        """Runs a transaction once; never raises `StoreUnavailableError`."""
         history = self.history
         if history is None:
             return await self._txn(txn, urgency)
@@ -247,46 +164,25 @@
             before = history.check_open()
         except StoreUnavailableError:
             return TransactionResult(TransactionStatus.NOT_EXECUTED)
-        result = history.judge(before, await self._txn(history.bound(txn), urgency), time.monotonic())
+        result = history.check_result(
+            before, await self._txn(history.guarded_transaction(txn), urgency), time.monotonic()
+        )
         if result.status is TransactionStatus.COMMITTED:
-            history.note_recorded((change.key for change in txn.then), result.revision)
+            history.record_change((change.key for change in txn.then), result.revision)
         return result
 
     async def _txn(self, txn: wire.Txn, urgency: Urgency) -> TransactionResult:
-        started = time.monotonic()
-        # In line: otherwise whoever asks more often would be served, and a large transaction of a part might never be.
-        async with self._queues[urgency]:
-            while delay := self._writes.delay(time.monotonic(), len(txn.then), urgency):
-                await curio.sleep(delay)
-        self._made[1] += len(txn.then)
-        self._recent += len(txn.then)
-        self._made[3] = max(self._made[3], time.monotonic() - started)
+        await self.rates.wait_for_writes(len(txn.then), urgency)
+        # A transaction that got past the rate of changes goes before reads, which are many and can wait.
+        urgency = Urgency.MEMBERSHIP if urgency is Urgency.MEMBERSHIP else Urgency.USERS
         try:
-            # Whoever got past the rate of changes goes before reads, which are many and can wait.
-            urgency = Urgency.MEMBERSHIP if urgency is Urgency.MEMBERSHIP else Urgency.USERS
             status, answer = await self._call("POST", wire.PATH_TXN, wire.encode(txn), urgency=urgency)
         except NoAnswerError as err:
             return TransactionResult(TransactionStatus.UNKNOWN if err.sent else TransactionStatus.NOT_EXECUTED)
-        try:
-            if status == 200:
-                return TransactionResult(TransactionStatus.COMMITTED, wire.txn_decoder.decode(answer).revision)
-            if status == 409:
-                body = wire.txn_decoder.decode(answer)
-                return TransactionResult(TransactionStatus.CONFLICT, body.revision, body.failed)
-        except msgspec.DecodeError:
-            return TransactionResult(TransactionStatus.UNKNOWN)
-        if status == 429:
-            self._writes.penalize(time.monotonic())
-            return TransactionResult(TransactionStatus.NOT_EXECUTED)
-        if status == 503:
-            return TransactionResult(TransactionStatus.NOT_EXECUTED)
-        if status == 400 and b"lease" in answer:
-            return TransactionResult(TransactionStatus.NO_LEASE)
-        log.error("state service refused transaction status=%d error=%s", status, answer[:200])
-        return TransactionResult(TransactionStatus.INVALID)
+        return _transaction_result(status, answer)
 
     async def grant(self, ttl_s: float) -> int | None:
-        """Obtains a lease."""
+        """Obtains a lease of `ttl_s` seconds; None if that failed."""
         try:
             status, answer = await self._call(
                 "POST", wire.PATH_GRANTS, wire.encode(wire.GrantRequest(int(ttl_s * 1000))), urgency=Urgency.MEMBERSHIP
@@ -296,7 +192,7 @@
         return _decode(wire.grant_decoder, answer).lease if status == 200 else None
 
     async def extend(self, lease: int) -> bool | None:
-        """Renews a lease: True, False if it has ended, None if nobody can tell."""
+        """Renews a lease: True, False if it has expired, None if the outcome is not known."""
         target = f"{wire.PATH_GRANTS}/{lease}/{wire.PATH_EXTEND}"
         try:
             status, _ = await self._call("POST", target, b"{}", urgency=Urgency.MEMBERSHIP)
@@ -310,3 +206,20 @@
         return decoder.decode(answer)
     except msgspec.DecodeError as err:
         raise StoreUnavailableError(f"unreadable answer: {err}") from None
+
+
+def _transaction_result(status: int, answer: bytes) -> TransactionResult:
+    try:
+        if status == 200:
+            return TransactionResult(TransactionStatus.COMMITTED, wire.txn_decoder.decode(answer).revision)
+        if status == 409:
+            body = wire.txn_decoder.decode(answer)
+            return TransactionResult(TransactionStatus.CONFLICT, body.revision, body.failed)
+    except msgspec.DecodeError:
+        return TransactionResult(TransactionStatus.UNKNOWN)
+    if status in (429, 503):
+        return TransactionResult(TransactionStatus.NOT_EXECUTED)
+    if status == 400 and b"lease" in answer:
+        return TransactionResult(TransactionStatus.NO_LEASE)
+    log.error("state service refused transaction status=%d error=%s", status, answer[:200])
+    return TransactionResult(TransactionStatus.INVALID)
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -147,7 +147,7 @@
         kind = SourceKind.ARCHIVE if number == 0 else SourceKind.REPLICA
         source = Source(kind, f"n{number}", 0, machines + finals + 9)
         for record in stored:
-            source.take(record)
+            source.add(record)
         sources.append(source)
     began = time.perf_counter()
     rebuilt = merge(Evidence(sources, {r.machine: r for r in heartbeats}, True), 100)
--- a/tests/sim/recovery.py
+++ b/tests/sim/recovery.py
@@ -11,7 +11,7 @@
 from spurarch.archive import commands
 from spurarch.coordination.controller import Controller
 from spurarch.recovery.launch import controller_with_recovery
-from spurarch.recovery.operators import declare_first_history, settle_job
+from spurarch.recovery.operators import declare_first_history, resolve_job
 from spurarch.recovery.service import RecoveryService
 from spurarch.storage import records
 from spurarch.storage.history import HISTORY
@@ -130,7 +130,7 @@
         elif action == "settle":  # settle JOB STATE, as an operator
             network = SimNetwork(self.wire, "operator")
             store = Store(network.client(STATE, 1), self.platform(0).deployment.state, 1)
-            await settle_job(store, args[0], args[1])
+            await resolve_job(store, args[0], args[1])
         elif action == "stop-archiver":
             await self.stop_archiver()
         elif action == "start-archiver":
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -9,7 +9,7 @@
 import pytest
 
 from spurarch.protocol.wire import Submission
-from spurarch.recovery import claim, merge, rebuild
+from spurarch.recovery import claim, rebuild_progress, rebuilt_records
 from spurarch.recovery.claim import ClaimRecord
 from spurarch.storage import history, records, seeds
 from spurarch.storage.history import ArchivedRecord, HistoryRecord, OpenMarker, PackedFinals
@@ -350,16 +350,16 @@
 
 def test_a_doubt_is_read_and_written_byte_for_byte() -> None:
     stored = b'{"job":"job-1","kind":"outcome","detail":"why"}'
-    unresolved = merge.UnresolvedOutcome("job-1", "outcome", "why")
+    unresolved = rebuilt_records.UnresolvedOutcome("job-1", "outcome", "why")
     assert msgspec.json.encode(unresolved) == stored
-    assert msgspec.json.decode(stored, type=merge.UnresolvedOutcome) == unresolved
+    assert msgspec.json.decode(stored, type=rebuilt_records.UnresolvedOutcome) == unresolved
 
 
 def test_the_words_for_kinds_of_doubt_are_the_stored_ones() -> None:
-    assert {kind.value for kind in merge.UnresolvedKind} == {"outcome", "conflict", "unknown job"}
+    assert {kind.value for kind in rebuilt_records.UnresolvedKind} == {"outcome", "conflict", "unknown job"}
 
 
 def test_the_words_for_steps_of_a_rebuilding_are_the_stored_ones() -> None:
     steps = ["sealing", "gathering", "collecting", "writing", "opened"]
-    assert [step.value for step in rebuild.Step] == steps
+    assert [step.value for step in rebuild_progress.Step] == steps
     assert claim.FINISHED == "opened"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -74,7 +74,7 @@
 
 def test_every_transaction_has_the_marker_as_a_condition_and_the_prefix_in_its_keys() -> None:
     txn = wire.Txn([wire.Guard("live/leader", 7)], [wire.Put("live/job/job-1", 1), wire.Delete("live/admitted/job-1")])
-    first, later = opened(1).bound(txn), opened(2).bound(txn)
+    first, later = opened(1).guarded_transaction(txn), opened(2).guarded_transaction(txn)
     assert [g.key for g in first.guards] == ["live/leader", "history/open/aa"]
     assert [c.key for c in first.then] == ["live/job/job-1", "live/admitted/job-1"]
     assert [g.key for g in later.guards] == ["h2.aa/live/leader", "history/open/aa"]
@@ -83,7 +83,7 @@
 
 def test_a_transaction_of_a_sealed_history_is_a_loss() -> None:
     guard = opened()
-    result = guard.judge(50, TransactionResult(TransactionStatus.CONFLICT, 51, ["history/open/aa"]), 11.0)
+    result = guard.check_result(50, TransactionResult(TransactionStatus.CONFLICT, 51, ["history/open/aa"]), 11.0)
     assert result.status is TransactionStatus.CONFLICT
     assert guard.phase is HistoryPhase.LOST
 
@@ -94,14 +94,17 @@
     before = guard.check_open()
     guard.lose("seen elsewhere")
     assert (
-        guard.judge(before, TransactionResult(TransactionStatus.COMMITTED, 51), 11.0).status
+        guard.check_result(before, TransactionResult(TransactionStatus.COMMITTED, 51), 11.0).status
         is TransactionStatus.UNKNOWN
     )
 
 
 def test_a_transaction_carried_out_at_a_lower_revision_is_not_confirmed() -> None:
     guard = opened()
-    assert guard.judge(50, TransactionResult(TransactionStatus.COMMITTED, 4), 11.0).status is TransactionStatus.UNKNOWN
+    assert (
+        guard.check_result(50, TransactionResult(TransactionStatus.COMMITTED, 4), 11.0).status
+        is TransactionStatus.UNKNOWN
+    )
     assert guard.phase is HistoryPhase.LOST
 
 
@@ -113,51 +116,51 @@
         TransactionStatus.NO_LEASE,
         TransactionStatus.INVALID,
     ):
-        assert guard.judge(50, TransactionResult(verdict), 11.0).status is verdict
+        assert guard.check_result(50, TransactionResult(verdict), 11.0).status is verdict
     assert guard.is_open
 
 
 def test_changes_of_other_histories_are_not_shown() -> None:
     guard = opened(2)
-    assert guard.take_event(wire.Event(60, None, "live/job/job-1")) is None
-    assert guard.take_event(wire.Event(60, "live/member/n0", None)) is None
-    assert guard.take_event(wire.Event(60, "somebody/else", None)) is None
+    assert guard.process_event(wire.Event(60, None, "live/job/job-1")) is None
+    assert guard.process_event(wire.Event(60, "live/member/n0", None)) is None
+    assert guard.process_event(wire.Event(60, "somebody/else", None)) is None
     assert guard.is_open
-    own = guard.take_event(wire.Event(61, "h2.aa/live/job/job-1", None))
+    own = guard.process_event(wire.Event(61, "h2.aa/live/job/job-1", None))
     assert own is not None
     assert own.put == "live/job/job-1"
-    assert opened(1).take_event(wire.Event(62, "h2.aa/live/job/job-1", None)) is not None  # no record has such a key
+    assert opened(1).process_event(wire.Event(62, "h2.aa/live/job/job-1", None)) is not None  # no record has such a key
     assert opened(1).logical("history/current") is None
 
 
 def test_data_that_went_back_to_an_earlier_history_may_have_a_higher_revision() -> None:
     """Each history counts anew: then only what is written outside the prefix tells."""
     guard = opened(2)
-    assert guard.take_event(wire.Event(60, "live/job/job-1", None)) is None
+    assert guard.process_event(wire.Event(60, "live/job/job-1", None)) is None
     assert guard.phase is HistoryPhase.LOST
 
 
 def test_a_sealed_marker_is_seen_by_watch() -> None:
     guard = opened()
-    guard.take_event(wire.Event(60, None, "history/open/other"))
+    guard.process_event(wire.Event(60, None, "history/open/other"))
     assert guard.is_open
-    guard.take_event(wire.Event(61, None, "history/open/aa"))
+    guard.process_event(wire.Event(61, None, "history/open/aa"))
     assert guard.phase is HistoryPhase.LOST
 
 
 def test_progress_of_the_archive_counts_for_this_history_only_and_never_falls() -> None:
     guard = opened()
     for name, revision, expected in (("aa", 40, 40), ("bb", 90, 40), ("aa", 30, 40), ("aa", 55, 55)):
-        guard.take_event(wire.Event(60, ARCHIVED, None, raw(ArchivedRecord(name, revision, "x"))))
+        guard.process_event(wire.Event(60, ARCHIVED, None, raw(ArchivedRecord(name, revision, "x"))))
         assert guard.archived == expected
-    guard.take_event(wire.Event(61, ARCHIVED, None, raw({"nonsense": 1})))
+    guard.process_event(wire.Event(61, ARCHIVED, None, raw({"nonsense": 1})))
     assert guard.is_open
 
 
 def test_what_an_operator_settles_is_learned() -> None:
     guard = opened()
     guard.record.uncertain = True
-    guard.take_event(wire.Event(60, CURRENT, None, raw(HistoryRecord("aa", 1, uncertain=False))))
+    guard.process_event(wire.Event(60, CURRENT, None, raw(HistoryRecord("aa", 1, uncertain=False))))
     assert not guard.record.uncertain
 
 
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -14,8 +14,9 @@
 
 from spurarch.protocol import wire
 from spurarch.protocol.recovery_messages import StoredRecord
-from spurarch.recovery.evidence import Evidence, Source, SourceKind
-from spurarch.recovery.merge import RebuiltRecords, UnresolvedKind, highest_epoch, merge
+from spurarch.recovery.evidence import Evidence, Source, SourceKind, highest_epoch
+from spurarch.recovery.merge import merge
+from spurarch.recovery.rebuilt_records import RebuiltRecords, UnresolvedKind
 from spurarch.storage import records
 from spurarch.storage.records import (
     ASSIGNED,
@@ -45,7 +46,7 @@
 def source(kind: SourceKind, name: str, revision: int, content: dict[str, tuple[int, Any]], since: int = 0) -> Source:
     out = Source(kind, name, since, revision)
     for key, (version, record) in content.items():
-        out.take(StoredRecord(key, version, wire.encode(record)))
+        out.add(StoredRecord(key, version, wire.encode(record)))
     return out
 
 
@@ -195,9 +196,9 @@
 
 def test_nonsense_is_set_aside_and_counted() -> None:
     copy = source(SourceKind.ARCHIVE, "archive", 9, LIVE)
-    copy.take(StoredRecord("live/job/job-2", 3, b'{"no":"job"}'))
-    copy.take(StoredRecord("live/allot/a/job-2/0", 3, b"\xff"))
-    copy.take(StoredRecord("something/else", 3, b"1"))
+    copy.add(StoredRecord("live/job/job-2", 3, b'{"no":"job"}'))
+    copy.add(StoredRecord("live/allot/a/job-2/0", 3, b"\xff"))
+    copy.add(StoredRecord("something/else", 3, b"1"))
     rebuilt = merge(
         evidence(copy, heartbeats=[report("vm-1", ("nonsense", 1, "running", None), ("job-1/77", 1, "running", None))]),
         CHUNK,
--- a/tests/test_recovery_faults.py
+++ b/tests/test_recovery_faults.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from spurarch.recovery import merge, rebuild
+from spurarch.recovery import merge, rebuild, worker_survey
 from spurarch.recovery.coverage import ArchiveProgress
 from spurarch.recovery.evidence import Source, Versioned
 from spurarch.recovery.heartbeat_collector import HeartbeatCollector
@@ -45,7 +45,8 @@
 
 def test_epochs_that_do_not_rise(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(rebuild, "EPOCHS_UNSEEN", 0)
-    monkeypatch.setattr(rebuild, "highest_epoch", lambda sources: 1)
+    for module in (rebuild, worker_survey):
+        monkeypatch.setattr(module, "highest_epoch", lambda sources: 1)
     monkeypatch.setattr(HeartbeatCollector, "highest_epoch", property(lambda self: 0, lambda self, epoch: None), False)
     assert problems("archive-lags")
 
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -16,8 +16,8 @@
 from spurarch.protocol import wire
 from spurarch.recovery import operators
 from spurarch.recovery.coverage import ArchiveProgress
-from spurarch.recovery.merge import UnresolvedOutcome
 from spurarch.recovery.operators import OperatorError, declare_first_history
+from spurarch.recovery.rebuilt_records import UnresolvedOutcome
 from spurarch.settings import StateLimits, load_tuning
 from spurarch.storage.history import ARCHIVED, CURRENT, HistoryGuard, HistoryRecord
 from spurarch.storage.store import Store
@@ -87,11 +87,11 @@
         await declare_first_history(client, False)
         put(service, "final/job-1", {"state": "in doubt", "tasks": 3})
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
-        assert (await operators.read_status(client)).doubts == [UnresolvedOutcome("job-1", "outcome", "x")]
-        await operators.settle_job(client, "job-1", wire.DONE)
+        assert (await operators.read_status(client)).unresolved == [UnresolvedOutcome("job-1", "outcome", "x")]
+        await operators.resolve_job(client, "job-1", wire.DONE)
         assert service.keys["final/job-1"][0] == {"state": "done", "tasks": 3}
         with pytest.raises(OperatorError, match="not in doubt"):
-            await operators.settle_job(client, "job-1", wire.CANCELLED)
+            await operators.resolve_job(client, "job-1", wire.CANCELLED)
 
     with_store(story)
 
@@ -102,7 +102,7 @@
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
         del service.keys[f"history/open/{history.name}"]
         with pytest.raises(OperatorError, match="being rebuilt"):
-            await operators.settle_job(client, "job-1", wire.DONE)
+            await operators.resolve_job(client, "job-1", wire.DONE)
 
     with_store(story)
 
@@ -157,7 +157,7 @@
         if words[0] == "raw":
             await curio.sleep(1.0)
             client = Store(SimNetwork(play.wire, "operator").client(STATE, 2), play.platform(0).deployment.state, 1)
-            await operators.settle_unknown_jobs(client)
+            await operators.resolve_unknown_jobs(client)
             await curio.sleep(2.0)
             settled.append((await play._ask("GET", "/submissions/job-9", b""))[0])
 
@@ -211,7 +211,7 @@
     clock = Clock()
     guard = HistoryGuard()
     guard.open(HistoryRecord("aa", 1), 3, 50, 10.0)
-    guard.note_recorded(["live/job/job-1"], 60)
+    guard.record_change(["live/job/job-1"], 60)
 
     async def story() -> None:
         patient, holding = ArchiveProgress(guard, 5.0, False), ArchiveProgress(guard, 5.0, True)
@@ -223,7 +223,7 @@
         assert not holding.covers(revision)
         guard.archived = 60
         assert holding.covers(revision)
-        guard.note_recorded(["live/member/n0"], 70)  # which is not archived
+        guard.record_change(["live/member/n0"], 70)  # which is not archived
         assert patient.recorded() == 60
 
     clock.run(story)
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from spurarch.recovery import rebuild
+from spurarch.recovery import history_writer
 from spurarch.storage.commit import Committer
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.seeds import PackedSeed
@@ -49,7 +49,7 @@
     path: Path, values: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As a history of many records begins, whatever its size."""
-    monkeypatch.setattr(rebuild, "SEEDED_ABOVE_S", 0.0)
+    monkeypatch.setattr(history_writer, "SEEDED_ABOVE_S", 0.0)
     unpacked: list[str] = []
     unpack = Committer._unpack
 
