--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -1,4 +1,4 @@
-"""`spurarch archive`: the commands of an operators' machine that has a disk."""
+"""The commands `spurarch archive ...`, for an operators' machine that has a disk."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from spurarch.archive.directory import (
     ArchiveBusyError,
     EmptyArchiveError,
-    Point,
     files,
     histories,
     locked,
     prune,
-    read_point,
-    verify,
 )
-from spurarch.archive.follower import Follower, OtherInstallationError, RivalArchiverError
+from spurarch.archive.follower import Follower, OtherInstallationError
 from spurarch.archive.format import DamagedFileError
+from spurarch.archive.progress import RivalArchiverError
+from spurarch.archive.reader import read_state, verify
 from spurarch.archive.server import ArchiveServer, history_of
+from spurarch.archive.state import ArchivedState
 from spurarch.settings import Platform, SettingsError, load_platform
 from spurarch.storage.store import Store
 from spurarch.transport.network import Network
@@ -61,7 +61,7 @@
 
 
 def run_command(args: argparse.Namespace) -> int:
-    """Runs a command; returns its exit code."""
+    """Runs a command and returns its exit code."""
     actions = {"run": _run, "serve": _serve, "show": _show, "list": _list, "verify": _verify, "prune": _prune}
     try:
         return actions[args.action](args)
@@ -76,20 +76,20 @@
         return FAILED
 
 
-def newest_archived(root: Path) -> Point | None:
-    """What an earlier archiver left: the newest point of the newest history."""
+def newest_archived(root: Path) -> ArchivedState | None:
+    """The newest state of the newest history that an earlier archiver left; None if there is none."""
     found = histories(root)
     try:
-        return read_point(found[-1]) if found else None
+        return read_state(found[-1]) if found else None
     except EmptyArchiveError:
         return None
 
 
-def archived_history(root: Path, name: str) -> Point | None:
-    """The newest point of a history by its name."""
+def archived_history(root: Path, name: str) -> ArchivedState | None:
+    """The newest state of a history by its name; None if there is none, or it can't be read."""
     found = [path for path in histories(root) if path.name.endswith(f"-{name}")] if name else []
     try:
-        return read_point(found[-1]) if found else None
+        return read_state(found[-1]) if found else None
     except (EmptyArchiveError, DamagedFileError) as err:
         log.error("archived history unreadable history=%s error=%s", name, err)
         return None
@@ -98,7 +98,10 @@
 async def serve(
     platform: Platform, root: Path, listen: str, network: Network | None = None, installation: str = ""
 ) -> None:
-    """Follows the state service and serves what is archived, until cancelled."""
+    """Follows the state service and serves what is archived, until cancelled.
+
+    Raises `OtherInstallationError`, `RivalArchiverError`, `DamagedFileError` or `OSError`.
+    """
     network = network or Network()
     limits = platform.deployment.state
     store = Store(network.client(platform.external.state, CONNECTIONS), limits, 1)
@@ -107,7 +110,7 @@
     if earlier is not None and (found := history_of(earlier).installation) != installation:
         raise OtherInstallationError(f"{root}: the archive is of installation {found!r}, not {installation!r}")
     follower = Follower(store, root, earlier, installation)
-    server = ArchiveServer(lambda: follower.point, lambda name: archived_history(root, name))
+    server = ArchiveServer(lambda: follower.state, lambda name: archived_history(root, name))
     async with curio.TaskGroup(wait=any) as group:
         await group.spawn(network.server(listen, server.handle, SERVER_CONNECTIONS).run)
         following = await group.spawn(follower.run)
@@ -129,10 +132,10 @@
 
 
 def _serve(args: argparse.Namespace) -> int:
-    """For going back to an earlier point: controllers that start beside an empty state service rebuild from it."""
-    point = read_point(_directory(args), args.revision)
-    server = ArchiveServer(lambda: point, lambda name: None)
-    print(f"serving history {point.history} as of revision {point.revision}", flush=True)
+    """Serves a fixed state; controllers that start with an empty state service rebuild the records from it."""
+    state = read_state(_directory(args), args.revision)
+    server = ArchiveServer(lambda: state, lambda name: None)
+    print(f"serving history {state.history} as of revision {state.revision}", flush=True)
     try:
         curio.run(Network().server(args.listen, server.handle, SERVER_CONNECTIONS).run)
     except KeyboardInterrupt:
@@ -150,11 +153,11 @@
 
 
 def _show(args: argparse.Namespace) -> int:
-    point = read_point(_directory(args), args.revision)
-    print(f"# history {point.history}, revision {point.revision}, {len(point.records)} records")
-    for key in sorted(point.records):
+    state = read_state(_directory(args), args.revision)
+    print(f"# history {state.history}, revision {state.revision}, {len(state.records)} records")
+    for key in sorted(state.records):
         if key.startswith(args.prefix):
-            entry = point.records[key]
+            entry = state.records[key]
             print(f'{{"key":"{key}","revision":{entry.revision},"value":{(entry.value or b"null").decode()}}}')
     return 0
 
@@ -169,8 +172,8 @@
 
 
 def _verify(args: argparse.Namespace) -> int:
-    point = verify(_directory(args))
-    print(f"history {point.history} is good up to revision {point.revision}: {len(point.records)} records")
+    state = verify(_directory(args))
+    print(f"history {state.history} is good up to revision {state.revision}: {len(state.records)} records")
     return 0
 
 
--- a/spurarch/archive/directory.py
+++ b/spurarch/archive/directory.py
@@ -1,8 +1,8 @@
-"""The archive's directory: which files there are, how they come into being, and what they add up to.
+"""The archive's directory: which files there are, and how they are created, appended to and removed.
 
-Every history has a directory of its own, `<number>-<name>`. A file is complete before it gets its name: it is written
-beside, synced, renamed, and the directory is synced. A change log grows by whole blocks, each synced before the revision
-that it covers is told to anybody. A log whose last block is torn is cut back to the block before.
+Every history has a directory of its own, `<number>-<name>`. A file gets its name once it is complete: it is written
+under another name, synced and renamed, and the directory is synced. A change log grows by whole blocks, each of which is
+synced before the revision that it covers is published. A torn last block of a log is ignored.
 """
 
 from __future__ import annotations
@@ -11,52 +11,32 @@
 import os
 from collections.abc import Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
 
 from spurarch.archive.format import (
-    Block,
-    DamagedFileError,
     Entry,
     FileHeader,
     FileKind,
     append_block,
     mark,
-    read_blocks,
     read_header,
     write_file,
 )
+from spurarch.archive.state import ArchivedState
+from spurarch.errors import SpurarchError
 
 LOCK = "lock"
 SUFFIX, PARTIAL = ".avro", ".partial"
 REVISION_DIGITS = 16
 
 
-class ArchiveBusyError(Exception):
+class ArchiveBusyError(SpurarchError):
     """Another archiver writes to the directory."""
 
 
-class EmptyArchiveError(Exception):
-    """There is nothing to read; the message says where."""
-
-
-@dataclass(slots=True)
-class Point:
-    """All records of a history at one revision."""
-
-    history: str
-    number: int
-    revision: int
-    records: dict[str, Entry] = field(default_factory=dict)
-
-    def apply(self, entry: Entry) -> None:
-        """Takes in a change."""
-        if entry.is_mark:
-            self.revision = max(self.revision, entry.revision)
-        elif entry.value is None:
-            self.records.pop(entry.key, None)
-        else:
-            self.records[entry.key] = entry
+class EmptyArchiveError(SpurarchError):
+    """There is nothing to read; the message names the directory."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +48,7 @@
 
 
 def sync_directory(path: Path) -> None:
-    """Makes names in a directory outlive a crash of the machine."""
+    """Syncs a directory, so that its names survive a crash of the machine."""
     handle = os.open(path, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -78,7 +58,7 @@
 
 @contextmanager
 def locked(root: Path) -> Iterator[None]:
-    """Only one archiver writes to a directory."""
+    """Locks a directory for one archiver; raises `ArchiveBusyError` if another has locked it."""
     root.mkdir(parents=True, exist_ok=True)
     with (root / LOCK).open("w") as file:
         try:
@@ -89,7 +69,7 @@
 
 
 def history_directory(root: Path, number: int, name: str) -> Path:
-    """Where a history's files are."""
+    """The directory of a history's files."""
     return root / f"{number:06d}-{name}"
 
 
@@ -99,7 +79,10 @@
 
 
 def files(directory: Path) -> list[ArchiveFile]:
-    """All complete files of a history, by revision, a snapshot before the log that follows it."""
+    """All complete files of a history, by revision, a snapshot before the log that follows it.
+
+    Raises `DamagedFileError` for a header that can't be read.
+    """
     found = [ArchiveFile(path, read_header(path)) for path in directory.glob(f"*{SUFFIX}")]
     return sorted(found, key=lambda f: (f.header.revision, f.header.kind is FileKind.LOG))
 
@@ -120,131 +103,38 @@
     return path
 
 
-def write_snapshot(root: Path, point: Point) -> Path:
-    """Writes all records of a point."""
-    directory = history_directory(root, point.number, point.history)
+def write_snapshot(root: Path, state: ArchivedState) -> Path:
+    """Writes a snapshot of all records; raises `OSError`."""
+    directory = history_directory(root, state.number, state.history)
     directory.mkdir(parents=True, exist_ok=True)
     sync_directory(root)
-    header = FileHeader(FileKind.SNAPSHOT, point.history, point.number, point.revision, len(point.records))
-    return _create(directory, header, [point.records[key] for key in sorted(point.records)])
+    header = FileHeader(FileKind.SNAPSHOT, state.history, state.number, state.revision, len(state.records))
+    return _create(directory, header, [state.records[key] for key in sorted(state.records)])
 
 
 class ChangeLog:
-    """A log that grows."""
+    """A change log that is appended to, from the revision of `state` on."""
 
-    def __init__(self, root: Path, point: Point) -> None:
-        directory = history_directory(root, point.number, point.history)
-        self.path = _create(directory, FileHeader(FileKind.LOG, point.history, point.number, point.revision), [])
+    def __init__(self, root: Path, state: ArchivedState) -> None:
+        directory = history_directory(root, state.number, state.history)
+        self.path = _create(directory, FileHeader(FileKind.LOG, state.history, state.number, state.revision), [])
         self.bytes = self.path.stat().st_size
 
     def append(self, entries: list[Entry], revision: int) -> None:
-        """Adds changes, complete up to a revision; they are on disk when this returns, or not at all."""
+        """Appends all changes up to a revision; they are on disk when this returns, or none is after an `OSError`."""
         try:
             with self.path.open("a+b") as file:
                 append_block(file, [*entries, mark(revision)])
                 file.flush()
                 os.fsync(file.fileno())
         except OSError:
-            os.truncate(self.path, self.bytes)  # a block that a full disk took only part of
+            os.truncate(self.path, self.bytes)  # a full disk may hold a part of the block
             raise
         self.bytes = self.path.stat().st_size
 
 
-def usable_blocks(path: Path) -> Iterator[Block]:
-    """Blocks of a log up to its end or a torn last block; a damaged block that others follow is an error."""
-    blocks = read_blocks(path)
-    while True:
-        try:
-            block = next(blocks, None)
-        except DamagedFileError:
-            if _is_last_block_torn(path):
-                return
-            raise
-        if block is None:
-            return
-        yield block
-
-
-def _is_last_block_torn(path: Path) -> bool:
-    """The file ends before the block that can't be read does: no sync marker follows it."""
-    end = 0
-    try:
-        for block in read_blocks(path):
-            end = block.end
-    except DamagedFileError:
-        pass
-    data = path.read_bytes()
-    marker = _sync_marker(data)
-    return marker is None or marker not in data[max(end, data.find(marker) + len(marker)) :]
-
-
-def _sync_marker(data: bytes) -> bytes | None:
-    """The sixteen bytes that end the header and each block."""
-    import io
-
-    import fastavro
-
-    stream = io.BytesIO(data)
-    try:
-        reader = fastavro.block_reader(stream)
-    except Exception:  # the library raises many kinds
-        return None
-    del reader
-    return data[stream.tell() - 16 : stream.tell()]
-
-
-def read_point(directory: Path, revision: int | None = None) -> Point:
-    """The records of a history at its newest point, or the newest up to a revision."""
-    found = files(directory)
-    snapshots = [
-        f for f in found if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
-    ]
-    if not snapshots:
-        raise EmptyArchiveError(f"{directory.name}: no snapshot up to revision {revision}")
-    newest = snapshots[-1]
-    point = Point(newest.header.history, newest.header.number, newest.header.revision)
-    _load_snapshot(newest, point)
-    for log in found:
-        if log.header.kind is FileKind.LOG and log.header.revision >= newest.header.revision:
-            _check_same(newest, log)
-            _replay(log, point, revision)
-    return point
-
-
-def _load_snapshot(snapshot: ArchiveFile, point: Point) -> None:
-    for block in read_blocks(snapshot.path):
-        for entry in block.entries:
-            point.records[entry.key] = entry
-    if len(point.records) != snapshot.header.count:
-        raise DamagedFileError(
-            f"{snapshot.path.name}: {len(point.records)} records of {snapshot.header.count}: a block is missing"
-        )
-
-
-def _check_same(snapshot: ArchiveFile, log: ArchiveFile) -> None:
-    if log.header.history != snapshot.header.history:
-        raise DamagedFileError(f"{log.path.name}: of history {log.header.history}, not {snapshot.header.history}")
-
-
-def _replay(log: ArchiveFile, point: Point, revision: int | None) -> None:
-    if log.header.revision > point.revision:
-        raise DamagedFileError(f"{log.path.name}: begins after {log.header.revision}, what comes before is missing")
-    for block in usable_blocks(log.path):
-        for entry in block.entries:
-            if revision is None or entry.revision <= revision:
-                point.apply(entry)
-
-
-def verify(directory: Path) -> Point:
-    """Reads every file of a history; the newest point, or an error that names file and block."""
-    for file in files(directory):
-        for _ in usable_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
-            pass
-    return read_point(directory)
-
-
 def prune(directory: Path, keep: int) -> list[Path]:
-    """Removes what lies before the newest `keep` snapshots; what was removed."""
+    """Removes the files before the newest `keep` snapshots; returns their paths."""
     found = files(directory)
     snapshots = [f.header.revision for f in found if f.header.kind is FileKind.SNAPSHOT]
     if len(snapshots) <= keep:
--- a/spurarch/archive/format.py
+++ b/spurarch/archive/format.py
@@ -1,7 +1,7 @@
 """The archive's files: Avro object container files (specification 1.11), compressed by zstandard, with checksums.
 
-A snapshot holds every record at one revision. A change log holds what came after it: a block for each batch of changes,
-which ends with a mark that says up to which revision the batch is complete. Every entry carries a CRC-32 over its fields,
+A snapshot holds every record at one revision. A change log holds the changes that follow: a block for each batch, which
+ends with a mark that says up to which revision the batch is complete. Every entry carries a CRC-32 over its fields,
 since Avro's own sync markers tell where a block ends, but not whether its contents were altered.
 """
 
@@ -16,9 +16,11 @@
 
 import fastavro
 
+from spurarch.errors import SpurarchError
+
 SCHEMA_VERSION = 1
 CODEC = "zstandard"
-BLOCK_BYTES_MOST = 1 << 30  # a batch is one block, so that a torn one leaves nothing of it behind
+BLOCK_BYTES_MOST = 1 << 30  # so that a batch is one block, and is torn as a whole
 META_SCHEMA, META_HISTORY, META_NUMBER, META_REVISION, META_KIND, META_COUNT = (
     "spurarch.schema",
     "spurarch.history",
@@ -48,7 +50,7 @@
     LOG = "log"
 
 
-class DamagedFileError(Exception):
+class DamagedFileError(SpurarchError):
     """A file of the archive can't be trusted; the message names file and block."""
 
 
@@ -62,7 +64,7 @@
 
     @property
     def is_mark(self) -> bool:
-        """Everything up to `revision` has come before."""
+        """Whether this is a mark: all changes up to `revision` come before it."""
         return not self.key
 
     def checksum(self) -> int:
@@ -73,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileHeader:
-    """What a file says of itself."""
+    """The header of a file: what it holds, of which history and from which revision."""
 
     kind: FileKind
     history: str
@@ -82,7 +84,7 @@
     count: int = 0  # of a snapshot: records in it
 
     def metadata(self) -> dict[str, str]:
-        """The header as Avro keeps it."""
+        """The header as Avro metadata."""
         return {
             META_SCHEMA: str(SCHEMA_VERSION),
             META_HISTORY: self.history,
@@ -94,7 +96,7 @@
 
 
 def mark(revision: int) -> Entry:
-    """Ends a batch."""
+    """The mark that ends a batch of all changes up to a revision."""
     return Entry(revision, "", None)
 
 
@@ -122,13 +124,13 @@
 
 
 def read_header(path: Path) -> FileHeader:
-    """The header of a file."""
+    """Reads the header of a file. Raises `DamagedFileError`."""
     with path.open("rb") as file:
         return _header(path, _open_blocks(path, file))
 
 
 def read_blocks(path: Path) -> Iterator[Block]:
-    """All blocks of a file; a `DamagedFileError` names the first that can't be trusted."""
+    """Reads all blocks of a file; raises `DamagedFileError`, which names the first block that can't be trusted."""
     size = path.stat().st_size
     with path.open("rb") as file:
         reader = _open_blocks(path, file)
--- /dev/null
+++ b/spurarch/archive/reader.py
@@ -0,0 +1,113 @@
+"""Reads a history from the archive's files: the newest usable snapshot and the change logs that follow it."""
+
+from __future__ import annotations
+
+import io
+from collections.abc import Iterator
+from pathlib import Path
+
+import fastavro
+
+from spurarch.archive.directory import ArchiveFile, EmptyArchiveError, files
+from spurarch.archive.format import Block, DamagedFileError, FileKind, read_blocks
+from spurarch.archive.state import ArchivedState
+
+SYNC_MARKER_BYTES = 16
+
+
+def usable_blocks(path: Path) -> Iterator[Block]:
+    """Reads the blocks of a log up to its end or a torn last block.
+
+    Raises `DamagedFileError` for a damaged block that others follow.
+    """
+    blocks = read_blocks(path)
+    while True:
+        try:
+            block = next(blocks, None)
+        except DamagedFileError:
+            if _is_last_block_torn(path):
+                return
+            raise
+        if block is None:
+            return
+        yield block
+
+
+def _is_last_block_torn(path: Path) -> bool:
+    """Whether the file ends within the block that can't be read: no sync marker follows it."""
+    end = 0
+    try:
+        for block in read_blocks(path):
+            end = block.end
+    except DamagedFileError:
+        pass
+    data = path.read_bytes()
+    marker = _sync_marker(data)
+    return marker is None or marker not in data[max(end, data.find(marker) + len(marker)) :]
+
+
+def _sync_marker(data: bytes) -> bytes | None:
+    """The bytes that end the header and each block; None if there is no readable header."""
+    stream = io.BytesIO(data)
+    try:
+        reader = fastavro.block_reader(stream)
+    except Exception:  # the library raises many kinds
+        return None
+    del reader
+    return data[stream.tell() - SYNC_MARKER_BYTES : stream.tell()]
+
+
+def read_state(directory: Path, revision: int | None = None) -> ArchivedState:
+    """Reads the records of a history at its newest revision, or at the newest up to `revision`.
+
+    Raises `EmptyArchiveError` without a snapshot, `DamagedFileError` if a file can't be trusted.
+    """
+    found = files(directory)
+    snapshots = [
+        f for f in found if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
+    ]
+    if not snapshots:
+        raise EmptyArchiveError(f"{directory.name}: no snapshot up to revision {revision}")
+    newest = snapshots[-1]
+    state = ArchivedState(newest.header.history, newest.header.number, newest.header.revision)
+    _load_snapshot(newest, state)
+    for log in found:
+        if log.header.kind is FileKind.LOG and log.header.revision >= newest.header.revision:
+            _check_same_history(newest, log)
+            _replay(log, state, revision)
+    return state
+
+
+def _load_snapshot(snapshot: ArchiveFile, state: ArchivedState) -> None:
+    for block in read_blocks(snapshot.path):
+        for entry in block.entries:
+            state.records[entry.key] = entry
+    if len(state.records) != snapshot.header.count:
+        raise DamagedFileError(
+            f"{snapshot.path.name}: {len(state.records)} records of {snapshot.header.count}: a block is missing"
+        )
+
+
+def _check_same_history(snapshot: ArchiveFile, log: ArchiveFile) -> None:
+    if log.header.history != snapshot.header.history:
+        raise DamagedFileError(f"{log.path.name}: of history {log.header.history}, not {snapshot.header.history}")
+
+
+def _replay(log: ArchiveFile, state: ArchivedState, revision: int | None) -> None:
+    if log.header.revision > state.revision:
+        raise DamagedFileError(f"{log.path.name}: begins after {log.header.revision}, what comes before is missing")
+    for block in usable_blocks(log.path):
+        for entry in block.entries:
+            if revision is None or entry.revision <= revision:
+                state.apply(entry)
+
+
+def verify(directory: Path) -> ArchivedState:
+    """Reads every file of a history and returns its newest state.
+
+    Raises `DamagedFileError`, which names file and block.
+    """
+    for file in files(directory):
+        for _ in usable_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
+            pass
+    return read_state(directory)
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Struct
@@ -61,8 +62,15 @@
     return out
 
 
-def page_of(stored: list[StoredRecord], position: int) -> tuple[list[StoredRecord], int]:
-    """Records from a position on, as many as fit into a frame, and the next page's position, 0 after the last."""
+class RecordsPage(NamedTuple):
+    """A part of a copy, and the position of the next part; 0 after the last."""
+
+    records: list[StoredRecord]
+    position: int
+
+
+def page_of(stored: list[StoredRecord], position: int) -> RecordsPage:
+    """Cuts a page out of a copy: records from a position on, as many as fit into a frame."""
     out: list[StoredRecord] = []
     size = 0
     for record in stored[position : position + PAGE_RECORDS]:
@@ -71,7 +79,7 @@
         out.append(record)
         size += len(record.value)
     following = position + len(out)
-    return out, following if following < len(stored) else 0
+    return RecordsPage(out, following if following < len(stored) else 0)
 
 
 def memory_source(node: str, state: ClusterState, since: int) -> Source:
--- a/spurarch/recovery/copy_gathering.py
+++ b/spurarch/recovery/copy_gathering.py
@@ -36,7 +36,7 @@
 
     sources: list[Source]
     given_by: set[str]
-    taking_part: set[str]
+    recovery_aware: set[str]
 
 
 class CopyGathering:
@@ -62,7 +62,7 @@
             gathered.sources.append(remains)
         if not gathered.sources:
             raise RebuildRefusedError("no copy of the records is left: neither a controller's nor an archive")
-        await self._refuse_outdated_members(peers.taking_part)
+        await self._refuse_outdated_members(peers.recovery_aware)
         return gathered
 
     async def _ask_peers(self, history: str) -> _PeerCopies:
@@ -103,14 +103,14 @@
         # The parent's archive has the final states of the jobs that were terminal before the lost history began.
         return await copies.archive_source(self._context.archive, lost.parent, SourceKind.ANCESTOR)
 
-    async def _refuse_outdated_members(self, taking_part: set[str]) -> None:
+    async def _refuse_outdated_members(self, recovery_aware: set[str]) -> None:
         """Refuses while a version without recovery runs: it would join the empty state service, and lead."""
         page = await self._context.store.page(records.MEMBER, None)
         for item in page.items:
             member = records.decode(item.key, item.value)
             if (
                 isinstance(member, MemberRecord)
-                and member.node not in taking_part
+                and member.node not in recovery_aware
                 and await self._is_outdated(member.node)
             ):
                 raise _outdated(member.node)
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -12,6 +12,7 @@
 
 from spurarch.coordination.partition.partition import TOKEN_BITS
 from spurarch.protocol import wire
+from spurarch.protocol.recovery_messages import HeartbeatsPage
 
 PAGE_HEARTBEATS = 200
 
@@ -68,12 +69,13 @@
             self._heartbeats[heartbeat.machine] = heartbeat
             self._arrivals.append(heartbeat.machine)
 
-    def page(self, epoch: int, after: int) -> tuple[list[wire.Heartbeat], int]:
+    def page(self, epoch: int, after: int) -> HeartbeatsPage:
         """Heartbeats with an epoch's token from the position `after` on, and the position after them."""
         if epoch != self.epoch:
-            return [], 0
+            return HeartbeatsPage([], 0, self.highest_epoch)
         names = self._arrivals[after : after + PAGE_HEARTBEATS]
-        return [self._heartbeats[name] for name in dict.fromkeys(names)], after + len(names)
+        heartbeats = [self._heartbeats[name] for name in dict.fromkeys(names)]
+        return HeartbeatsPage(heartbeats, after + len(names), self.highest_epoch)
 
 
 def _runs_anything(heartbeat: wire.Heartbeat) -> bool:
--- a/spurarch/recovery/history_opening.py
+++ b/spurarch/recovery/history_opening.py
@@ -89,12 +89,12 @@
             return
         marker = await self._store.get(OPEN + history.name)
         if marker is None:
-            self._report_loss(history, f"history {history.name} was sealed")
+            self._declare_lost(history, f"history {history.name} was sealed")
             return
         newest = (await self._ask_others()).newest_revision(history.name)
         page = await self._store.page(CURRENT, None)  # read later, so its revision is no lower, unless data was lost
         if newest > page.revision:
-            self._report_loss(history, f"revision {page.revision}, where {newest} was seen")
+            self._declare_lost(history, f"revision {page.revision}, where {newest} was seen")
             return
         self._guard.open(history, marker.version, page.revision, time.monotonic())
 
@@ -109,15 +109,15 @@
                 self._installation,
             )
         elif archived is not None:
-            self._report_loss(archived, f"no history, the archive has {archived.name}")
+            self._declare_lost(archived, f"no history, the archive has {archived.name}")
             return
         for answer in others.answers:
             if answer.history:
                 lost = HistoryRecord(answer.history, answer.number)
-                self._report_loss(lost, f"no history, {answer.node} has seen {answer.history}")
+                self._declare_lost(lost, f"no history, {answer.node} has seen {answer.history}")
                 return
 
-    def _report_loss(self, history: HistoryRecord, reason: str) -> None:
+    def _declare_lost(self, history: HistoryRecord, reason: str) -> None:
         """A history is lost that this process never worked in."""
         if self._guard.lose(reason):
             self._guard.record = history
--- a/spurarch/recovery/peer_responder.py
+++ b/spurarch/recovery/peer_responder.py
@@ -6,7 +6,6 @@
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
     EvidenceRequest,
-    HeartbeatsPage,
     HeartbeatsRequest,
     RevisionAnswer,
     RevisionRequest,
@@ -42,8 +41,7 @@
         if isinstance(message, EvidenceRequest):
             return recovery_messages.encode(self._evidence_page(message))
         if isinstance(message, HeartbeatsRequest):
-            heartbeats, position = self._collector.page(message.epoch, message.after)
-            return recovery_messages.encode(HeartbeatsPage(heartbeats, position, self._collector.highest_epoch))
+            return recovery_messages.encode(self._collector.page(message.epoch, message.after))
         return None
 
     def _evidence_page(self, request: EvidenceRequest) -> EvidencePage:
@@ -66,5 +64,6 @@
             return page
         if self._stored is None:
             self._stored = copies.stored_records(replica.state)
-        page.records, page.position = copies.page_of(self._stored, request.position)
+        stored = copies.page_of(self._stored, request.position)
+        page.records, page.position = stored.records, stored.position
         return page
--- a/spurarch/recovery/worker_survey.py
+++ b/spurarch/recovery/worker_survey.py
@@ -72,7 +72,7 @@
     async def _collect_heartbeats(self, evidence: Evidence) -> None:
         """Adds the heartbeats that all controllers have received by now."""
         collector, own, epoch = self._context.collector, self._context.node, self._progress.epoch
-        while self._add_page(evidence, own, *collector.page(epoch, self._positions.get(own, 0))):
+        while self._add_page(evidence, own, collector.page(epoch, self._positions.get(own, 0))):
             await curio.sleep(0)
         shown = collector.highest_epoch
         for node, peer in self._context.peers.items():
@@ -89,15 +89,15 @@
             page = recovery_messages.decode(answer) if answer is not None else None
             if not isinstance(page, HeartbeatsPage):
                 return 0
-            if not self._add_page(evidence, node, page.heartbeats, page.position):
+            if not self._add_page(evidence, node, page):
                 return page.highest_epoch
 
-    def _add_page(self, evidence: Evidence, node: str, heartbeats: list[wire.Heartbeat], position: int) -> bool:
+    def _add_page(self, evidence: Evidence, node: str, page: HeartbeatsPage) -> bool:
         """Adds a page of heartbeats; False if it was empty."""
-        for heartbeat in heartbeats:
+        for heartbeat in page.heartbeats:
             evidence.add_heartbeat(heartbeat)
-        self._positions[node] = position
-        return bool(heartbeats)
+        self._positions[node] = page.position
+        return bool(page.heartbeats)
 
     async def _add_listed(self, needed: set[str]) -> bool:
         """Adds the cloud's machines, which only a controller that has ended may have known; False if that failed."""
--- a/spurarch/storage/__init__.py
+++ b/spurarch/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a process: records in the state service, the copy of them kept here, rate limits."""
+"""State that outlives a process: records in the state service, the copy of them here, and clients with rate limits."""
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -20,8 +20,9 @@
 import curio
 import msgspec
 
-from spurarch.archive.directory import ChangeLog, Point, write_snapshot
+from spurarch.archive.directory import ChangeLog, write_snapshot
 from spurarch.archive.format import Entry
+from spurarch.archive.state import ArchivedState
 from spurarch.protocol import wire
 from spurarch.protocol.recovery_messages import StoredRecord
 from spurarch.recovery.evidence import Evidence, Source, SourceKind
@@ -155,7 +156,7 @@
     alive = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in rebuilt.jobs.items()]
     alive += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in rebuilt.allocations.items()]
     changes = len(pack(alive, 24, 16384)) + -(-finals * 120 // 16384)
-    point = Point(f"m{machines}-{finals}", 1, machines + finals)
+    point = ArchivedState(f"m{machines}-{finals}", 1, machines + finals)
     for record in stored:
         point.apply(Entry(record.version, record.key, record.value))
     began = time.perf_counter()
@@ -167,7 +168,7 @@
 
 def log_cost(directory: Path) -> dict[str, float]:
     """What a batch of changes takes on disk, its sync included."""
-    point = Point("log", 1, 1)
+    point = ArchivedState("log", 1, 1)
     write_snapshot(directory, point)
     log, times = ChangeLog(directory, point), []
     value = wire.encode(AllocationRecord([TaskEntry(i, ASSIGNED, 1, f"vm-{i:06d}", 1) for i in range(25)]))
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -14,10 +14,13 @@
 from spurarch.archive import directory as archive
 from spurarch.archive import format as files
 from spurarch.archive.commands import newest_archived
-from spurarch.archive.directory import ArchiveBusyError, ChangeLog, EmptyArchiveError, Point, read_point
-from spurarch.archive.follower import Follower, FollowerPhase, RivalArchiverError
+from spurarch.archive.directory import ArchiveBusyError, ChangeLog, EmptyArchiveError
+from spurarch.archive.follower import Follower, FollowerPhase
 from spurarch.archive.format import DamagedFileError, Entry, FileHeader, FileKind
+from spurarch.archive.progress import RivalArchiverError
+from spurarch.archive.reader import read_state, verify
 from spurarch.archive.server import ArchiveServer
+from spurarch.archive.state import ArchivedState
 from spurarch.cli import main
 from spurarch.protocol import wire
 from spurarch.recovery.operators import declare_first_history
@@ -37,8 +40,8 @@
     return Entry(revision, f"live/job/job-{number}", None if value is None else json.dumps(value).encode())
 
 
-def point(revision: int, count: int) -> Point:
-    out = Point("aa", 1, revision)
+def point(revision: int, count: int) -> ArchivedState:
+    out = ArchivedState("aa", 1, revision)
     for number in range(count):
         out.apply(entry(number, revision))
     out.revision = revision
@@ -57,12 +60,12 @@
 
 def test_snapshot_and_log_give_the_newest_point_and_earlier_ones(tmp_path: Path) -> None:
     where = small_archive(tmp_path)
-    newest = read_point(where)
+    newest = read_state(where)
     assert (newest.revision, sorted(newest.records)) == (50, [f"live/job/job-{n}" for n in (10, 11, 12, 13)])
-    earlier = read_point(where, 35)
+    earlier = read_state(where, 35)
     assert (earlier.revision, sorted(earlier.records)) == (30, [f"live/job/job-{n}" for n in (10, 11, 2)])
     with pytest.raises(EmptyArchiveError):
-        read_point(where, 9)
+        read_state(where, 9)
 
 
 def test_a_log_cut_off_anywhere_gives_the_last_whole_batch(tmp_path: Path) -> None:
@@ -76,7 +79,7 @@
     for length in range(max(header_end, ends[0] - 20), len(whole) + 1, 3):
         log.write_bytes(whole[:length])
         expected = max([10, *(r for r, end in zip(revisions, ends, strict=True) if end <= length)])
-        assert read_point(where).revision == expected, length
+        assert read_state(where).revision == expected, length
 
 
 @pytest.mark.parametrize("which", ["snapshot", "log"])
@@ -91,7 +94,7 @@
         altered[at] ^= 0x55
         file.write_bytes(bytes(altered))
         with pytest.raises(DamagedFileError, match=rf"{file.name}: block 0"):
-            archive.verify(where)
+            verify(where)
         found.add(at)
     assert len(found) == 20
 
@@ -104,7 +107,7 @@
     assert len(blocks) > 2
     file.write_bytes(file.read_bytes()[: blocks[-2]])
     with pytest.raises(DamagedFileError, match="a block is missing"):
-        read_point(where)
+        read_state(where)
 
 
 def test_a_later_schema_is_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -120,7 +123,7 @@
     with (where / "log-0000000000000060.avro").open("wb") as file:
         files.write_file(file, FileHeader(FileKind.LOG, "bb", 1, 50), [])
     with pytest.raises(DamagedFileError, match="of history bb, not aa"):
-        read_point(where)
+        read_state(where)
 
 
 def test_a_log_that_begins_too_late_is_refused(tmp_path: Path) -> None:
@@ -128,7 +131,7 @@
     with (where / "log-0000000000000060.avro").open("wb") as file:
         files.write_file(file, FileHeader(FileKind.LOG, "aa", 1, 60), [])
     with pytest.raises(DamagedFileError, match="what comes before is missing"):
-        read_point(where)
+        read_state(where)
 
 
 def test_files_that_were_not_finished_have_no_name_yet(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -143,7 +146,7 @@
         with pytest.raises(OSError, match="No space"):
             archive.write_snapshot(tmp_path, point(60, 2))
     assert sorted(f.path.name for f in archive.files(where)) == [name for name in before if name.endswith(".avro")]
-    assert read_point(where).revision == 50
+    assert read_state(where).revision == 50
 
 
 def test_a_batch_that_a_full_disk_did_not_take_leaves_the_log_as_it_was(
@@ -161,9 +164,9 @@
         patch.setattr("os.fsync", fail)
         with pytest.raises(OSError, match="No space"):
             log.append([entry(8, 30)], 30)
-    assert read_point(archive.histories(tmp_path)[0]).revision == 20
+    assert read_state(archive.histories(tmp_path)[0]).revision == 20
     log.append([entry(9, 40)], 40)
-    assert "live/job/job-9" in read_point(archive.histories(tmp_path)[0]).records
+    assert "live/job/job-9" in read_state(archive.histories(tmp_path)[0]).records
 
 
 def test_two_archivers_do_not_share_a_directory(tmp_path: Path) -> None:
@@ -177,7 +180,7 @@
         archive.write_snapshot(tmp_path, point(revision, 2))
     removed = archive.prune(where, 2)
     assert sorted(path.name.split("-")[0] for path in removed) == ["log", "snapshot"]
-    assert read_point(where).revision == 70
+    assert read_state(where).revision == 70
     assert archive.prune(where, 2) == []
 
 
@@ -280,7 +283,7 @@
         follower, _ = await world.begin()
         while follower.phase is not FollowerPhase.FOLLOWING:
             await curio.sleep(0.0005)
-        snapshot = read_point(archive.histories(tmp_path)[0])
+        snapshot = read_state(archive.histories(tmp_path)[0])
         seen = dict(moments)
         assert snapshot.revision in seen, "the snapshot fell into the time of the changes"
         expected = seen[snapshot.revision]
@@ -303,7 +306,7 @@
         world.store.revision += 10_001
         world.put("live/job/job-1", "x")
         await curio.sleep(30)
-        assert follower.counts.snapshots == 2
+        assert follower.snapshots == 2
         assert world.archived() == {"live/job/job-1": "x"}
 
     world.run(main)
@@ -426,7 +429,7 @@
         world.put("h2.bb/live/job/job-1", "second")
         await curio.sleep(3)
         assert follower.phase is FollowerPhase.FOLLOWING
-        assert [read_point(where).number for where in archive.histories(tmp_path)] == [1, 2]
+        assert [read_state(where).number for where in archive.histories(tmp_path)] == [1, 2]
         assert world.archived() == {"live/job/job-1": "second"}
 
     world.run(main)
@@ -435,7 +438,7 @@
 
 def test_the_server_gives_pages_of_one_point(tmp_path: Path) -> None:
     where = small_archive(tmp_path)
-    server = ArchiveServer(lambda: read_point(where), lambda name: None)
+    server = ArchiveServer(lambda: read_state(where), lambda name: None)
 
     async def main() -> None:
         head = await server.handle(Request("GET", "/archive/head", b""))
--- a/tests/test_external_contract_archive.py
+++ b/tests/test_external_contract_archive.py
@@ -9,8 +9,10 @@
 
 import pytest
 
-from spurarch.archive.directory import ChangeLog, Point, files, histories, read_point, write_snapshot
+from spurarch.archive.directory import ChangeLog, files, histories, write_snapshot
 from spurarch.archive.format import Block, DamagedFileError, Entry, FileHeader, FileKind, read_blocks, read_header
+from spurarch.archive.reader import read_state
+from spurarch.archive.state import ArchivedState
 from spurarch.cli import main
 
 MARKER = b"0123456789abcdef"
@@ -66,9 +68,9 @@
     return whole.replace(whole[-16:], MARKER)
 
 
-def start_point() -> Point:
+def start_point() -> ArchivedState:
     """What the snapshot holds."""
-    return Point("9f2c", 2, 10, {entry.key: entry for entry in SNAPSHOT_ENTRIES})
+    return ArchivedState("9f2c", 2, 10, {entry.key: entry for entry in SNAPSHOT_ENTRIES})
 
 
 def test_a_frozen_snapshot_is_read(archive: Path) -> None:
@@ -89,7 +91,7 @@
 def test_a_frozen_archive_gives_the_point_that_it_was_written_for(archive: Path) -> None:
     [directory] = histories(archive)
 
-    newest, earlier = read_point(directory), read_point(directory, 13)
+    newest, earlier = read_state(directory), read_state(directory, 13)
 
     assert (newest.history, newest.number, newest.revision) == ("9f2c", 2, 21)
     assert newest.records == {
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -11,9 +11,9 @@
 import curio
 import pytest
 
-from spurarch.archive.directory import Point
 from spurarch.archive.format import Entry
 from spurarch.archive.server import ArchiveServer
+from spurarch.archive.state import ArchivedState
 from spurarch.protocol import wire
 from spurarch.recovery import copies
 from spurarch.recovery.copies import ArchiveHead
@@ -279,7 +279,7 @@
 
 def _archive() -> ArchiveServer:
     entries = [Entry(9, "final/job-1", b'{"state":"done","tasks":2}'), Entry(10, "live/part/a", b"{}")]
-    point = Point("9f2c", 2, 431, {entry.key: entry for entry in entries})
+    point = ArchivedState("9f2c", 2, 431, {entry.key: entry for entry in entries})
     return ArchiveServer(lambda: point, lambda name: None)
 
 
