--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from spurarch.coordination.leader import Leader
-    from spurarch.coordination.partition.partition import ArchiveCoverage
+    from spurarch.coordination.partition.state import ArchiveCoverage
     from spurarch.storage.history import HistoryGuard
 
 log = logging.getLogger(__name__)
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -49,7 +49,7 @@
             return
         for name in list(partition.machines_needing_commands):
             machine = partition.machines.get(name)
-            if machine is None or not partition.needs_command(machine):
+            if machine is None or not partition.commands.needs_command(machine):
                 del partition.machines_needing_commands[name]
                 continue
             quiet = now - (machine.last_heartbeat_at or now) > self._silent_s
@@ -76,7 +76,7 @@
             self._in_line.discard(machine.name)
             now = time.monotonic()
             if self._permissions.owns(owned.partition) and self._permissions.may_command(now):
-                sent = owned.partition.direct_commands(machine)
+                sent = owned.partition.direct_commands.next_request(machine)
                 if sent is not None:
                     await self._command(owned, machine, sent)
 
@@ -86,7 +86,7 @@
             status, answer = await client.request("POST", wire.PATH_COMMANDS, wire.encode(sent), DIRECT_S)
         except NoAnswerError as err:
             log.debug("direct command unanswered machine=%s error=%s", machine.name, err)
-            partition.on_direct_failure(machine, sent, err.sent)
+            partition.direct_commands.on_failure(machine, sent, err.sent)
             return
         heartbeat = None
         if status in (200, 409):
@@ -94,6 +94,6 @@
                 heartbeat = wire.heartbeat_decoder.decode(answer)
             except msgspec.DecodeError as err:
                 log.warning("unreadable worker answer machine=%s error=%s", machine.name, err)
-        partition.on_direct_response(machine, sent, heartbeat, time.monotonic())
+        partition.direct_commands.on_response(machine, sent, heartbeat, time.monotonic())
         if partition.terminal_attempts:
             await owned.wakeup.set()
--- /dev/null
+++ b/spurarch/coordination/partition/commands.py
@@ -0,0 +1,128 @@
+"""Which commands a worker needs now: starts, stops, and ends that it may forget."""
+
+from __future__ import annotations
+
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, TaskAttempt
+from spurarch.coordination.partition.state import ArchiveCoverage, PartitionContext, PartitionState
+from spurarch.protocol import wire
+
+UNARCHIVED_MOST = 64  # ended tasks of one machine that wait for the archive; its heartbeats grow by them
+CHECKPOINT_MARGIN_S = 10.0  # beyond its grace period, before a task that was told to checkpoint is told once more
+
+
+class CommandPlanner:
+    """Works out the commands of one machine from the tables."""
+
+    def __init__(self, state: PartitionState, context: PartitionContext) -> None:
+        self._state, self._context = state, context
+
+    def plan(self, machine: Machine, heartbeat: wire.Heartbeat | None) -> list[wire.Command]:
+        """What the worker should do now. Every command may be repeated, but a start after a forget.
+
+        Ends are forgotten first, so that a worker does not refuse a task whose earlier attempt it still lists.
+
+        Args:
+            machine: The worker's machine.
+            heartbeat: What it just sent, or None for commands outside of an answer.
+        """
+        out: list[wire.Command] = []
+        if machine.fenced:
+            # While a start without an answer may still arrive, a forgotten attempt would run again.
+            forget = machine.to_forget
+            if self._context.coverage is not None:
+                forget = self._archived(machine, self._context.coverage)
+            out += [wire.Command(wire.FORGET, wire.task_name(*key), attempt) for key, attempt in forget.items()]
+        if heartbeat is not None:
+            out += self._stops_for_unrecorded(machine, heartbeat)
+        for attempt in machine.attempts.values():
+            if attempt.stop_requested:
+                if attempt.phase < AttemptPhase.EXITED and not self._is_checkpointing(attempt):
+                    out.append(wire.Command(wire.STOP, wire.task_name(*attempt.key), attempt.number, attempt.grace_s))
+            elif (
+                attempt.phase in (AttemptPhase.ASSIGNED, AttemptPhase.STARTING)
+                and attempt.incarnation == machine.incarnation
+                and self._may_start(attempt)
+            ):
+                self._state.transition(attempt, AttemptPhase.STARTING)
+                out.append(wire.Command(wire.START, wire.task_name(*attempt.key), attempt.number))
+        return out
+
+    @staticmethod
+    def _archived(machine: Machine, coverage: ArchiveCoverage) -> dict[tuple[str, int], int]:
+        """Ended tasks that the worker need not list any more.
+
+        The record of an end can be lost with the state service's data. As long as the archive does not cover it, the
+        worker's heartbeats are the only other evidence.
+        """
+        waiting = [
+            (key, revision)
+            for key, revision in machine.unarchived.items()
+            if key in machine.to_forget and not coverage.covers(revision)
+        ]
+        machine.unarchived = dict(waiting[-UNARCHIVED_MOST:])
+        return {key: attempt for key, attempt in machine.to_forget.items() if key not in machine.unarchived}
+
+    def _is_checkpointing(self, attempt: TaskAttempt) -> bool:
+        """The task was told to checkpoint, and has time left; members of a gang go on being reported as running."""
+        if attempt.grace_s <= 0:
+            return False
+        if attempt.stop_acknowledged_at is not None:
+            return self._state.now - attempt.stop_acknowledged_at < attempt.grace_s + CHECKPOINT_MARGIN_S
+        return attempt.phase is AttemptPhase.STOPPING
+
+    def _may_start(self, attempt: TaskAttempt) -> bool:
+        if not self._context.may_start():
+            return False
+        if self._state.attempts_by_allocation.get(attempt.allocation, {}).get(attempt.index) is not attempt:
+            self._context.violations.record(
+                f"start without a recorded task job={attempt.allocation.job} task={attempt.index} "
+                f"machine={attempt.machine}"
+            )
+            return False
+        gang = self._state.gangs.get(attempt.allocation.job)
+        return gang is None or gang.startable
+
+    def stops_for_cancelled(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
+        """Stops listed tasks whose jobs are known to be cancelled.
+
+        That needs no record, and may have to be done before the records can be read: a partition may change its owner
+        just before an outage that is longer than `cancel_s`.
+        """
+        return [
+            wire.Command(wire.STOP, task.task, task.attempt, 0.0)
+            for task in heartbeat.tasks
+            if task.state != wire.EXITED
+            and (key := wire.split_task(task.task))
+            and self._context.time_since_cancellation(key[0]) is not None
+        ]
+
+    @staticmethod
+    def _stops_for_unrecorded(machine: Machine, heartbeat: wire.Heartbeat) -> list[wire.Command]:
+        """Stops and forgets listed tasks that no record assigns to this machine."""
+        out: list[wire.Command] = []
+        listed: dict[tuple[str, int], int] = {}
+        for task in heartbeat.tasks:
+            key = wire.split_task(task.task)
+            attempt = machine.attempts.get(key) if key else None
+            if attempt is not None and attempt.number == task.attempt:
+                continue
+            if key and machine.to_forget.get(key) == task.attempt:
+                listed[key] = task.attempt
+            elif task.state != wire.EXITED:
+                out.append(wire.Command(wire.STOP, task.task, task.attempt, 0.0))
+            elif machine.fenced:
+                out.append(wire.Command(wire.FORGET, task.task, task.attempt))
+        machine.to_forget = listed
+        return out
+
+    def needs_command(self, machine: Machine) -> bool:
+        """Something on the machine has to start or stop, and it is not certain that the worker was told."""
+        return machine.state is MachineState.ACTIVE and any(
+            (attempt.phase is AttemptPhase.ASSIGNED and not attempt.stop_requested and self._may_start(attempt))
+            or (
+                attempt.stop_requested
+                and AttemptPhase.STARTING <= attempt.phase <= AttemptPhase.RUNNING
+                and not self._is_checkpointing(attempt)
+            )
+            for attempt in machine.attempts.values()
+        )
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -162,6 +162,27 @@
         self.state = state
         return True
 
+    def acknowledge(self, fencing_token: int, counter: int, now: float) -> None:
+        """The worker showed a fencing token; one that is higher than those before proves that our answers arrive."""
+        self.highest_token_seen = max(self.highest_token_seen, fencing_token)
+        if counter > self.acknowledged_counter:
+            self.acknowledged_counter = counter
+            self.acknowledged_at = now
+            if self.acknowledged_counter >= self.token_counter:
+                self.token_offered_at = None
+                self.responses_lost = False
+
+    def overdue_since(self) -> float | None:
+        """Since when a cancelled task may be on the machine without having shown that it left; None if there is none."""
+        times = [
+            attempt.job_cancelled_at
+            for attempt in self.attempts.values()
+            if attempt.job_cancelled_at is not None and attempt.phase < AttemptPhase.EXITED
+        ]
+        if self.cancelled_task_since is not None:
+            times.append(self.cancelled_task_since)
+        return min(times, default=None)
+
     @property
     def fenced(self) -> bool:
         """No command that went unanswered can act any more."""
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -18,7 +18,9 @@
 from spurarch.coordination.partition.command_sender import CommandSender
 from spurarch.coordination.partition.machine import MachineState, TaskAttempt
 from spurarch.coordination.partition.owned_partition import OwnedPartition
-from spurarch.coordination.partition.partition import ArchiveCoverage, Partition
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.partition.state import ArchiveCoverage, PartitionContext
+from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.runtime.event_loop_lag import EventLoopLag
 from spurarch.coordination.runtime.round_budget import RoundBudget
 from spurarch.coordination.runtime.stall_detector import StallDetector
@@ -128,14 +130,14 @@
         if not self.permissions.may_answer(now):
             return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
         owned = self._owned_partition(heartbeat.zone, now)
-        occasions = owned.partition.scheduling_triggers
+        occasions = owned.partition.state.scheduling_triggers
         commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.is_not_stalled(now))
         if commands is None:
             return 503, wire.encode(wire.ErrorBody("not entitled to this worker"))
         machine = owned.partition.machines[heartbeat.machine]
-        if owned.partition.scheduling_triggers != occasions:
+        if owned.partition.state.scheduling_triggers != occasions:
             await owned.wakeup.set()
-        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.fencing_token(machine), commands))
+        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.state.fencing_token(machine), commands))
 
     def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
         """By zone, workers that reported here of late though another holds their zone."""
@@ -156,19 +158,24 @@
                     record.epoch,
                     self.deployment.workers.lease_s,
                     now,
-                    self._image_of,
-                    self.view.ledger.violations,
+                    PartitionContext(
+                        self._image_of,
+                        self.permissions.time_since_cancellation,
+                        self._may_start,
+                        self._coverage,
+                        self.view.ledger.violations,
+                    ),
                 ),
                 self.tuning,
                 SILENT_HEARTBEATS * self.deployment.workers.heartbeat_interval_s,
             )
-            owned.partition.time_since_cancellation = self.permissions.time_since_cancellation
-            if self._coverage is not None:
-                owned.partition.coverage = self._coverage
-                owned.partition.may_start = lambda: self.replica.store.trusted
             self.owned[zone] = owned
         return owned
 
+    def _may_start(self) -> bool:
+        """Without an archive the records are always trusted."""
+        return self._coverage is None or self.replica.store.trusted
+
     def _image_of(self, job: str) -> int | None:
         known = self.view.jobs.get(job)
         return known.requirements.image if known is not None else None
@@ -212,7 +219,7 @@
             owned.wakeup.clear()
             try:
                 await self._prepare(owned)
-                if owned.partition.records_read:
+                if owned.partition.state.records_read:
                     await self._run_round(owned)
             except curio.CancelledError:
                 raise
@@ -231,11 +238,11 @@
         while self.owned.get(owned.partition.zone) is owned and self.permissions.owns(owned.partition):
             await curio.sleep(TICK_S)
             try:
-                if (owned.partition.records_read or owned.provisional) and self.permissions.owns(owned.partition):
+                if (owned.partition.state.records_read or owned.provisional) and self.permissions.owns(owned.partition):
                     self._stop_jobs_cancelled_by_peers(owned)
                     await self._send(owned)
                     await self.scale_in.watch_overdue(owned, time.monotonic())
-                    if owned.partition.records_read:
+                    if owned.partition.state.records_read:
                         await self.scale_in.watch_silence(owned, time.monotonic())
             except curio.CancelledError:
                 raise
@@ -264,7 +271,7 @@
     async def _prepare(self, owned: OwnedPartition) -> None:
         """Takes records in; a part is ready once a copy read after its claim is complete."""
         partition, state = owned.partition, self.replica.state
-        if not partition.records_read:
+        if not partition.state.records_read:
             if not await self.replica.sync():
                 if self.replica.loaded and not owned.provisional:
                     # What was read before the claim serves to stop cancelled tasks, and for nothing else.
@@ -274,7 +281,7 @@
             self._distribute_changes()
             partition.apply_records(state, list(dict.fromkeys([*state.entries, *owned.changed_keys])), time.monotonic())
             owned.changed_keys.clear()
-            partition.records_read = True
+            partition.state.records_read = True
         else:
             self._distribute_changes()
             self._apply_changes(owned, time.monotonic())
@@ -287,8 +294,8 @@
             owned.next_tick = now + PARTITION_TICK_S
             partition.tick(now)
             writes = self._machine_writes(partition, now)
-        partition.now = now
-        changes = partition.terminal_entries(state, self._batch_delay_s())
+        partition.state.now = now
+        changes = TerminalRecords(partition.state).entries(state, self._batch_delay_s())
         if partition.unassigned:
             budget = self._round_budget()
             owned.placer.writes_scarce = self.replica.store.write_level() < SCARCE_LEVEL
@@ -422,7 +429,7 @@
         pending: Iterable[AllocationKey],
     ) -> dict[Urgency, list[_Change]]:
         out: dict[Urgency, list[_Change]] = {Urgency.REPLICAS: [_Change(write) for write in extra], Urgency.STARTS: []}
-        cleaning = dict.fromkeys(partition.deletable_allocations(self.replica.state))
+        cleaning = dict.fromkeys(TerminalRecords(partition.state).deletable_allocations(self.replica.state))
         out[Urgency.ENDS] = [_Change(Write(str(allocation), None), allocation) for allocation in cleaning]
         for allocation, entries in changes.items():
             if allocation in cleaning or allocation in pending:
@@ -462,7 +469,7 @@
         if record is None:
             return []
         if change.entries is None:
-            over = partition.is_deletable(self.replica.state, change.where)
+            over = TerminalRecords(partition.state).is_deletable(self.replica.state, change.where)
             return [change.write] if change.write is not None and over else []
         new = merge_changes(record, change.entries, is_live_gang(self.replica.state, change.where.job))
         if new is None:
@@ -498,7 +505,7 @@
 
     async def _send(self, owned: OwnedPartition) -> None:
         """Starts and stops go straight to the worker, by what the records say now."""
-        if owned.partition.records_read:
+        if owned.partition.state.records_read:
             self._distribute_changes()
             self._apply_changes(owned, time.monotonic())
         await self._commands.send(owned)
--- /dev/null
+++ b/spurarch/coordination/partition/statuses.py
@@ -0,0 +1,104 @@
+"""What a worker's own message shows of its machine and of the tasks on it.
+
+Both heartbeats and answers to direct commands carry such messages; copies of any age may arrive in any order.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from spurarch.coordination.partition.failures import FailureAttribution
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, observed_phase
+from spurarch.coordination.partition.state import PartitionContext, PartitionState
+from spurarch.coordination.partition.stopping import StopRequests
+from spurarch.protocol import wire
+
+log = logging.getLogger(__name__)
+
+UNKNOWN_STATES_KEPT = 5000  # task states of which a line is logged
+
+
+class StatusUpdater:
+    """Applies workers' messages to machines and attempts."""
+
+    def __init__(
+        self,
+        state: PartitionState,
+        stops: StopRequests,
+        failures: FailureAttribution,
+        context: PartitionContext,
+    ) -> None:
+        self._state, self._stops, self._failures = state, stops, failures
+        self._image_of = context.image_of
+        self._unknown_states: set[str] = set()
+
+    def apply(self, machine: Machine, heartbeat: wire.Heartbeat, now: float) -> None:
+        """Applies what a worker's message shows, unless something newer was seen.
+
+        A machine becomes active with the first message that shows a fencing token chosen for it since it became known
+        here. Copies of older messages can't show one: neither one alone nor several in a row bring a released machine
+        back, or make a new owner believe that a silent one lives.
+        """
+        state = self._state
+        if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.heartbeat_seq):
+            return
+        lowest_token = state.lowest_token
+        if (
+            not lowest_token + machine.first_token_counter
+            <= heartbeat.fencing_token
+            <= lowest_token + state.highest_token_counter
+        ):
+            return
+        if heartbeat.incarnation > machine.incarnation:
+            self._end_incarnation(machine, heartbeat.incarnation)
+        machine.incarnation, machine.heartbeat_seq = heartbeat.incarnation, heartbeat.seq
+        machine.last_heartbeat_at = now
+        machine.type, machine.spot, machine.addr = heartbeat.type, heartbeat.spot, heartbeat.addr
+        machine.acknowledge(heartbeat.fencing_token, heartbeat.fencing_token - lowest_token, now)
+        if machine.transition(MachineState.ACTIVE):
+            state.capacity_added_at = now
+            state.scheduling_triggers += 1
+        notice_s = heartbeat.termination_notice_s
+        machine.termination_notice_until = None if notice_s is None else now + notice_s
+        if notice_s is not None:
+            self._stops.checkpoint_gangs(machine, notice_s)
+        if heartbeat.tasks != machine.last_task_statuses:
+            machine.last_task_statuses = heartbeat.tasks
+            for task in heartbeat.tasks:
+                self._apply_task(machine, task, now)
+        if machine.attempts:
+            state.machines_needing_commands[machine.name] = None
+
+    def _end_incarnation(self, machine: Machine, incarnation: int) -> None:
+        """A worker process began anew, so nothing of the one before runs any more."""
+        for attempt in list(machine.attempts.values()):
+            if attempt.incarnation < incarnation:
+                self._state.transition(attempt, AttemptPhase.GONE)
+        machine.to_forget.clear()
+        machine.fence_token = 0  # commands name their incarnation
+        machine.cancelled_task_since = None
+
+    def _apply_task(self, machine: Machine, task: wire.TaskStatus, now: float) -> None:
+        key = wire.split_task(task.task)
+        attempt = machine.attempts.get(key) if key else None
+        if attempt is None or attempt.number != task.attempt:
+            return
+        phase = observed_phase(task)
+        if phase is None:
+            self._log_unknown_state(task.state)
+            return
+        if self._state.transition(attempt, phase, task.exit_reason):
+            if phase is AttemptPhase.RUNNING:
+                attempt.running_at = now
+            if phase in (AttemptPhase.GATHERING, AttemptPhase.RUNNING):
+                image = self._image_of(attempt.allocation.job)
+                if image is not None:
+                    machine.cached_images.add(image)
+            if phase is AttemptPhase.EXITED:
+                self._failures.record_exit(machine, attempt, now)
+
+    def _log_unknown_state(self, task_state: str) -> None:
+        """A state that this version does not know is ignored; workers may be newer than controllers."""
+        if task_state not in self._unknown_states and len(self._unknown_states) < UNKNOWN_STATES_KEPT:
+            self._unknown_states.add(task_state)
+            log.warning("unknown task state reported state=%r", task_state)
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -13,7 +13,8 @@
 from spurarch.coordination.membership.permissions import Permissions
 from spurarch.coordination.partition.machine import Machine, MachineState
 from spurarch.coordination.partition.owned_partition import OwnedPartition
-from spurarch.coordination.partition.partition import RELEASED_MACHINES_KEPT, Partition
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.partition.state import RELEASED_MACHINES_KEPT
 from spurarch.coordination.runtime.stall_detector import StallDetector
 from spurarch.coordination.scaling.scale_in_candidates import (
     cut_off,
@@ -148,7 +149,7 @@
             return (
                 self._permissions.owns(partition)
                 and self._permissions.is_not_stalled(now)
-                and any(partition.overdue_since(m) is not None for m in machines)
+                and any(m.overdue_since() is not None for m in machines)
             )
 
         try:
--- a/spurarch/coordination/scaling/scale_in_candidates.py
+++ b/spurarch/coordination/scaling/scale_in_candidates.py
@@ -121,11 +121,7 @@
     out = []
     for name in list(partition.machines_with_cancelled_tasks):
         machine = partition.machines.get(name)
-        since = (
-            partition.overdue_since(machine)
-            if machine is not None and machine.state is not MachineState.RELEASED
-            else None
-        )
+        since = machine.overdue_since() if machine is not None and machine.state is not MachineState.RELEASED else None
         if machine is None or since is None:
             del partition.machines_with_cancelled_tasks[name]
             continue
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from spurarch.coordination.partition.partition import TOKEN_BITS
+from spurarch.coordination.partition.state import TOKEN_BITS
 from spurarch.protocol import wire
 
 PAGE_HEARTBEATS = 200
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -18,7 +18,7 @@
 
 from spurarch.coordination.membership.permissions import Permissions
 from spurarch.coordination.partition.owner import PartitionOwner
-from spurarch.coordination.partition.partition import TOKEN_BITS
+from spurarch.coordination.partition.state import TOKEN_BITS
 from spurarch.protocol import recovery_messages, wire
 from spurarch.protocol.recovery_messages import (
     EvidencePage,
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -11,7 +11,7 @@
 from spurarch.cli import main
 from spurarch.coordination.fleet.quota_ledger import QuotaLedger
 from spurarch.coordination.partition.machine import AttemptPhase
-from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.partition.stopping import StopRequests
 
 
 def leave_limit_out() -> None:
@@ -25,13 +25,13 @@
 
 def drop_charge_early() -> None:
     """Takes a task that is told to stop for one that has left."""
-    stop_one = Partition._request_stop_one
+    stop_one = StopRequests._request_one
 
-    def stop_and_drop(partition: Partition, run: Any, grace_s: float) -> None:
-        stop_one(partition, run, grace_s)
-        partition.transition(run, AttemptPhase.GONE)
+    def stop_and_drop(stops: StopRequests, run: Any, grace_s: float) -> None:
+        stop_one(stops, run, grace_s)
+        stops._state.transition(run, AttemptPhase.GONE)
 
-    Partition._request_stop_one = stop_and_drop  # type: ignore[assignment, method-assign]
+    StopRequests._request_one = stop_and_drop  # type: ignore[assignment, method-assign]
 
 
 FAULTS = {"limit-left-out": leave_limit_out, "charge-dropped-early": drop_charge_early}
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -32,7 +32,7 @@
         waiting_in(fleet, "b", "job-2", queue_of_b)
     fleet.news(list(fleet.state.entries))
     placer = TaskPlacer()
-    placer.writes_scarce, fleet.partition.capacity_added_at = scarce, grew_at
+    placer.writes_scarce, fleet.partition.state.capacity_added_at = scarce, grew_at
     for now in (1.0, 3.0 if not scarce else 7.0):
         turn = placer.run_round(fleet.partition, fleet.view, now, lambda: False, 100)
     return sum(e.state == records.RETURNED for entries in turn.entries.values() for e in entries.values())
@@ -111,7 +111,7 @@
     fleet.put(records.machine_key("a", "vm-1"), MachineRecord("small", False, "10.1.0.1:9000"))
     fleet.news(list(fleet.state.entries))
     fleet.report(1, 1, 0)
-    fleet.report(1, 2, fleet.partition.fencing_token(fleet.partition.machines["vm-1"]))
+    fleet.report(1, 2, fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"]))
     for job_id, image, at in (("job-1", "rare", 0.0), ("job-2", "common", 1.0)):
         spec = submission(job_id, 1)
         spec.image = image
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -13,6 +13,8 @@
 from spurarch.coordination.partition.gang import GangAttempt, Gangs, GangState
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.partition.state import PartitionContext
+from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, machines_to_reserve
 from spurarch.protocol import wire
 from spurarch.storage import records
@@ -159,9 +161,9 @@
     state = ClusterState()
     state.put(records.JOB + "job-1", 1, job)
     state.put(str(WHERE), 2, AllocationRecord(entries))
-    part = Partition("a", 1, 10.0, 0.0, lambda job_id: None)
+    part = Partition("a", 1, 10.0, 0.0, PartitionContext(lambda job_id: None))
     part.apply_records(state, list(state.entries), 0.0)
-    part.records_read = True
+    part.state.records_read = True
     return part, state
 
 
@@ -169,10 +171,10 @@
     part, state = part_with(JobRecord(submission(2), 0.0), [assigned(0), free(1)])
     machine = part.machines["vm-0"]
     machine.incarnation = 1
-    assert part.commands(machine, None) == []
+    assert part.commands.plan(machine, None) == []
     state.put(str(WHERE), 3, AllocationRecord([assigned(0), assigned(1)]))
     part.apply_records(state, [str(WHERE)], 1.0)
-    assert [(c.op, c.task, c.attempt) for c in part.commands(machine, None)] == [(wire.START, "job-1/0", 1)]
+    assert [(c.op, c.task, c.attempt) for c in part.commands.plan(machine, None)] == [(wire.START, "job-1/0", 1)]
 
 
 def test_a_split_record_keeps_what_is_known_of_its_tasks() -> None:
@@ -180,14 +182,14 @@
     job = JobRecord(submission(4), 0.0)
     job.spec.kind = wire.BATCH
     part, state = part_with(job, [assigned(i) for i in range(4)])
-    part.transition(part.attempts["job-1", 3], AttemptPhase.EXITED, wire.REASON_DONE)
+    part.state.transition(part.attempts["job-1", 3], AttemptPhase.EXITED, wire.REASON_DONE)
     pieces = records.split(WHERE, AllocationRecord([assigned(i) for i in range(4)]), 2)
     state.apply_commit([Write(str(allocation), piece) for allocation, piece in pieces], 9)
     part.apply_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
     attempt = part.attempts["job-1", 3]
     assert (attempt.phase, attempt.allocation) == (AttemptPhase.EXITED, pieces[1][0])
     assert part.machines["vm-3"].to_forget == {}
-    assert part.terminal_entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
+    assert TerminalRecords(part.state).entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
 
 def test_gang_members_are_given_machines_together_or_not_at_all() -> None:
@@ -204,7 +206,7 @@
     task = wire.TaskStatus("job-1/0", 1, "dreaming")
     with caplog.at_level(logging.WARNING):
         for seq in (1, 2, 3):
-            token = part.fencing_token(part.machines["vm-0"])
+            token = part.state.fencing_token(part.machines["vm-0"])
             heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
             part.on_heartbeat(heartbeat, float(seq))
     assert part.attempts["job-1", 0].phase is AttemptPhase.STARTING
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -8,7 +8,8 @@
 import msgspec
 
 from spurarch.coordination.admission.planner import AdmissionPlanner
-from spurarch.coordination.partition.partition import RELEASED_MACHINES_KEPT
+from spurarch.coordination.partition.state import RELEASED_MACHINES_KEPT
+from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.scheduling.local_search import refine
 from spurarch.coordination.scheduling.placement import TaskPlacer
 from spurarch.protocol import peer_messages
@@ -42,11 +43,11 @@
     costs = []
     for machines in (400, MACHINES):
         fleet = Fleet(machines)
-        token = fleet.partition.fencing_token(fleet.partition.machines["vm-7"])
+        token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-7"])
         ended = fleet.wire_report(7, 3, token)
         ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", exit_reason="done")
         report = calls(lambda f=fleet, r=ended: f.partition.on_heartbeat(r, 2.0))  # type: ignore[misc]
-        left = calls(lambda f=fleet: f.partition.deletable_allocations(f.state))  # type: ignore[misc]
+        left = calls(lambda f=fleet: TerminalRecords(f.partition.state).deletable_allocations(f.state))  # type: ignore[misc]
         costs.append((report, left))
     assert costs[0] == costs[1]
 
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -67,7 +67,7 @@
 
 
 def _stop_cancelled(fleet: Fleet, now: float) -> None:
-    fleet.partition.time_since_cancellation = lambda job: now - 20.0 if job in ("job-0", "job-1") else None
+    fleet.time_since_cancellation = lambda job: now - 20.0 if job in ("job-0", "job-1") else None
     for job in ("job-0", "job-1", "job-2"):  # the last is stopped for another reason
         fleet.partition.stop_job(job, now)
 
@@ -86,11 +86,11 @@
     """Its lease has run out, which frees its tasks; but a machine that hangs has not ended them."""
     fleet = Fleet(3)
     _stop_cancelled(fleet, 25.0)
-    fleet.report(2, 9, fleet.partition.fencing_token(fleet.partition.machines["vm-2"]))
+    fleet.report(2, 9, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
     fleet.partition.tick(26.0)
     assert fleet.partition.machines["vm-0"].state is MachineState.LEASE_EXPIRED
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 40.0, False)] == ["vm-0", "vm-1"]
-    token = fleet.partition.fencing_token(fleet.partition.machines["vm-0"])
+    token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-0"])
     heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "big", "a", 2, 30, token, [])
     assert fleet.partition.on_heartbeat(heartbeat, 41.0) is not None  # it goes on in its next session
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 42.0, False)] == ["vm-1"]
@@ -107,9 +107,11 @@
 
 def test_before_the_records_are_read_only_cancelled_tasks_are_stopped() -> None:
     fleet = Fleet(3)
-    fleet.partition.records_read = False
-    fleet.partition.time_since_cancellation = lambda job: 1.0 if job == "job-0" else None
-    answers = [fleet.report(i, 5, fleet.partition.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)]
+    fleet.partition.state.records_read = False
+    fleet.time_since_cancellation = lambda job: 1.0 if job == "job-0" else None
+    answers = [
+        fleet.report(i, 5, fleet.partition.state.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)
+    ]
     assert answers == [[wire.Command(wire.STOP, f"job-0/{n}", 1, 0.0) for n in range(4)], []]
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,6 +18,8 @@
 from spurarch.coordination.partition.allocation_changes import merge_changes
 from spurarch.coordination.partition.machine import AttemptPhase, Machine
 from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.partition.state import PartitionContext
+from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.scheduling import best_fit as best_fit_module
 from spurarch.coordination.scheduling.best_fit import (
     MachineCapacity,
@@ -87,16 +89,18 @@
         self.state = ClusterState()
         self.view = FleetView(self.state, [Team("t")])
         self.view.set_machine_types([wire.MachineType("big", 32.0, 0.0, 128.0, 1.0, 0.5, 30.0, ["a"])])
-        self.partition = Partition("a", 1, 10.0, 0.0, lambda job: 0)
+        self.time_since_cancellation: Callable[[str], float | None] = lambda job: None
+        context = PartitionContext(lambda job: 0, lambda job: self.time_since_cancellation(job))
+        self.partition = Partition("a", 1, 10.0, 0.0, context)
         for i in range(machines):
             self.put(records.machine_key("a", f"vm-{i}"), MachineRecord("big", False, "10.1.0.1:9000"))
             self.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
             self.put(str(AllocationKey("a", f"job-{i}", 0)), self.allot(i, records.ASSIGNED))
-        self.partition.records_read = True
+        self.partition.state.records_read = True
         self.news(list(self.state.entries))
         for i in range(machines):
             self.report(i, 1, 0)
-            self.report(i, 2, self.partition.fencing_token(self.partition.machines[f"vm-{i}"]))
+            self.report(i, 2, self.partition.state.fencing_token(self.partition.machines[f"vm-{i}"]))
 
     @staticmethod
     def allot(i: int, last: int) -> AllocationRecord:
@@ -130,12 +134,12 @@
     costs = []
     for machines in (20, 400, 4000):
         fleet = Fleet(machines)
-        token = fleet.partition.fencing_token(fleet.partition.machines["vm-3"])
+        token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-3"])
         report = calls(lambda f=fleet, t=token: f.report(3, 3, t))  # type: ignore[misc]
         key = str(AllocationKey("a", "job-3", 0))
         fleet.put(key, Fleet.allot(3, records.ENDED))
         change = calls(lambda f=fleet, k=key: f.news([k]))  # type: ignore[misc]
-        ends = calls(lambda f=fleet: f.partition.terminal_entries(f.state, 0.0))  # type: ignore[misc]
+        ends = calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 0.0))  # type: ignore[misc]
         costs.append((report, change, ends))
     assert costs[0] == costs[1] == costs[2]
 
@@ -202,23 +206,23 @@
         fleet.put(key, AllocationRecord(entries))
         fleet.news([key])
         for attempt in list(fleet.partition.attempts.values())[:ended]:
-            fleet.partition.transition(attempt, AttemptPhase.EXITED, wire.REASON_DONE)
-        assert fleet.partition.terminal_entries(fleet.state, 3.0) == {}
-        costs.append(calls(lambda f=fleet: f.partition.terminal_entries(f.state, 3.0)))  # type: ignore[misc]
+            fleet.partition.state.transition(attempt, AttemptPhase.EXITED, wire.REASON_DONE)
+        assert TerminalRecords(fleet.partition.state).entries(fleet.state, 3.0) == {}
+        costs.append(calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 3.0)))  # type: ignore[misc]
     assert costs[0] == costs[1]
 
 
 def test_a_report_that_shows_what_the_last_one_did_is_not_gone_through_again() -> None:
     fleet = Fleet(1)
-    token = fleet.partition.fencing_token(fleet.partition.machines["vm-0"])
+    token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-0"])
     seen: list[str] = []
-    observe = fleet.partition._apply_task_status
+    observe = fleet.partition._statuses._apply_task
 
     def counted(machine: Machine, task: wire.TaskStatus, now: float) -> None:
         seen.append(task.task)
         observe(machine, task, now)
 
-    fleet.partition._apply_task_status = counted  # type: ignore[method-assign]
+    fleet.partition._statuses._apply_task = counted  # type: ignore[method-assign]
     for seq in (3, 4, 5):
         fleet.report(0, seq, token)
     assert seen == []
@@ -232,27 +236,27 @@
 def test_a_report_is_occasion_for_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
     """While ends waited to be gathered, every report of any machine led to a round: 25 a second in a large partition."""
     fleet = Fleet(3)
-    token = fleet.partition.fencing_token(fleet.partition.machines["vm-1"])
-    before = fleet.partition.scheduling_triggers
+    token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"])
+    before = fleet.partition.state.scheduling_triggers
     fleet.report(1, 3, token)
-    assert fleet.partition.scheduling_triggers == before
+    assert fleet.partition.state.scheduling_triggers == before
     ended = fleet.wire_report(1, 4, token)
     ended.tasks[0] = wire.TaskStatus("job-1/0", 1, "ended", "done")
     fleet.partition.on_heartbeat(ended, 2.0)
-    assert fleet.partition.scheduling_triggers == before + 1
+    assert fleet.partition.state.scheduling_triggers == before + 1
     fleet.partition.on_heartbeat(wire.Heartbeat("vm-1", "10.1.0.1:9000", "big", "a", 1, 5, token, ended.tasks), 2.1)
-    fleet.report(2, 3, fleet.partition.fencing_token(fleet.partition.machines["vm-2"]))
+    fleet.report(2, 3, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
     assert fleet.partition.terminal_attempts
-    assert fleet.partition.scheduling_triggers == before + 1
+    assert fleet.partition.state.scheduling_triggers == before + 1
     fresh = wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 1, 0, [])
     fleet.partition.on_heartbeat(fresh, 2.2)
     fleet.partition.on_heartbeat(
-        wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.lowest_token + 99, []), 2.3
+        wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.state.lowest_token + 99, []), 2.3
     )
-    assert fleet.partition.scheduling_triggers == before + 1  # a token that it was never given
-    shown = fleet.partition.fencing_token(fleet.partition.machines["vm-9"])
+    assert fleet.partition.state.scheduling_triggers == before + 1  # a token that it was never given
+    shown = fleet.partition.state.fencing_token(fleet.partition.machines["vm-9"])
     fleet.partition.on_heartbeat(wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, shown, []), 2.4)
-    assert fleet.partition.scheduling_triggers == before + 2
+    assert fleet.partition.state.scheduling_triggers == before + 2
 
 
 def room(index: int, cpus: float, free: float, images: frozenset[int]) -> MachineCapacity:
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -44,9 +44,9 @@
     fleet = Fleet(1)
     machine = fleet.partition.machines["vm-0"]
     fleet.partition.stop_job("job-0", 0.0)
-    heartbeat = fleet.wire_report(0, 3, fleet.partition.fencing_token(machine))
+    heartbeat = fleet.wire_report(0, 3, fleet.partition.state.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 2.0, commanding=False) == []
-    heartbeat = fleet.wire_report(0, 4, fleet.partition.fencing_token(machine))
+    heartbeat = fleet.wire_report(0, 4, fleet.partition.state.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 3.0)
 
 
