--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -62,8 +62,8 @@
     def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Looks at a worker's report for signs of loss."""
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
-        """Answers a report while the records may not be believed."""
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
+        """Answers a heartbeat while the records may not be believed."""
 
     def on_frame(self, frame: bytes) -> bytes | None:
         """Answers a peer's message of recovery; None if it is another."""
@@ -265,9 +265,8 @@
         if self._recovery is not None:
             self._recovery.observe(heartbeat)
             if self._recovery.closed:
-                return Response(*await self._recovery.on_heartbeat(heartbeat))
-        status, body = await self.owner.on_heartbeat(heartbeat, time.monotonic())
-        return Response(status, body)
+                return await self._recovery.on_heartbeat(heartbeat)
+        return await self.owner.on_heartbeat(heartbeat, time.monotonic())
 
     def _health(self) -> Response:
         """Healthy unless a peer could serve users and this controller can't."""
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -33,6 +33,7 @@
 from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
 from spurarch.storage.replica import Replica, Write
 from spurarch.storage.store import TransactionStatus
+from spurarch.transport.http_messages import Response, error_response
 from spurarch.transport.network import Network
 
 log = logging.getLogger(__name__)
@@ -105,7 +106,7 @@
 
     # Reports
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Response:
         """Answers a report: 200 as owner, 421 to steer the worker, 503 if nobody can tell."""
         heard = self.reachability.partitions_by_peers.get(heartbeat.zone)
         partition = self.replica.state.partitions.get(heartbeat.zone)
@@ -114,7 +115,7 @@
             and heard is not None
             and self.reachability.peer_responds(heard[0], now)
         ):
-            return 421, wire.encode(wire.Redirect(heard[0]))  # a peer told us
+            return Response(421, wire.encode(wire.Redirect(heard[0])))  # a peer told us
         if self.membership.owned_record(heartbeat.zone) is None:
             lost = heartbeat.zone in self.view.unreachable_zones()
             if heartbeat.zone in self.deployment.zones:
@@ -123,21 +124,23 @@
                 # Its owner believes that nobody hears it. Sent back there, the worker would lose what is left of its
                 # lease; the next controller may know of another owner.
                 await self.unregistered_machine_found.set()
-                return 421, b"{}"
+                return Response(421)
             if partition is None or partition.node == self.membership.node:
-                return 503, wire.encode(wire.ErrorBody("the owner of this zone is not known yet"))
-            return 421, wire.encode(wire.Redirect(partition.node))
+                return error_response(503, "the owner of this zone is not known yet")
+            return Response(421, wire.encode(wire.Redirect(partition.node)))
         if not self.permissions.may_answer(now):
-            return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
+            return error_response(503, "cut from the state service for too long")
         owned = self._owned_partition(heartbeat.zone, now)
         occasions = owned.partition.state.scheduling_triggers
         commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.is_not_stalled(now))
         if commands is None:
-            return 503, wire.encode(wire.ErrorBody("not entitled to this worker"))
+            return error_response(503, "not entitled to this worker")
         machine = owned.partition.machines[heartbeat.machine]
         if owned.partition.state.scheduling_triggers != occasions:
             await owned.wakeup.set()
-        return 200, wire.encode(wire.HeartbeatResponse(owned.partition.state.fencing_token(machine), commands))
+        return Response(
+            200, wire.encode(wire.HeartbeatResponse(owned.partition.state.fencing_token(machine), commands))
+        )
 
     def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
         """By zone, workers that reported here of late though another holds their zone."""
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -12,6 +12,7 @@
 
 from spurarch.coordination.partition.state import TOKEN_BITS
 from spurarch.protocol import wire
+from spurarch.transport.http_messages import Response, error_response
 
 PAGE_HEARTBEATS = 200
 
@@ -38,18 +39,18 @@
         """What workers are given."""
         return self.epoch << TOKEN_BITS
 
-    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
-        """Takes a report in; 200 keeps the worker's lease, 503 sends it on."""
+    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
+        """Collects a heartbeat; 200 renews the worker's lease, 503 sends it to another controller."""
         shown = heartbeat.fencing_token >> TOKEN_BITS
         if shown != self.epoch:
             self.highest_epoch = max(self.highest_epoch, shown)
         if self.epoch and heartbeat.fencing_token == self.token:
             self._keep(heartbeat)
         if not self.epoch or heartbeat.fencing_token > self.token:
-            return 503, wire.encode(wire.ErrorBody("the records are being rebuilt"))
+            return error_response(503, "the records are being rebuilt")
         if not self._may_answer(time.monotonic()) and _runs_anything(heartbeat):
-            return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        return 200, wire.encode(wire.HeartbeatResponse(self.token, self._stops(heartbeat)))
+            return error_response(503, "cut from the state service for too long")
+        return Response(200, wire.encode(wire.HeartbeatResponse(self.token, self._stops(heartbeat))))
 
     def _stops(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Cancelled tasks leave in time however long this takes; stopping them needs no record."""
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -40,6 +40,7 @@
 from spurarch.storage.history import CURRENT, OPEN, HistoryGuard, HistoryPhase, HistoryRecord, decode_history
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.transport.http_messages import Response
 from spurarch.transport.network import Calls, Network
 
 log = logging.getLogger(__name__)
@@ -308,8 +309,8 @@
         if len(unexplained) >= SUSPICIOUS_LEAST:
             self._guard.lose(f"{len(unexplained)} workers show epochs that are not on record")
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
-        """Answers a report while the history is closed."""
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
+        """Answers a heartbeat while the history is closed."""
         if self.collector.epoch:
             return self.collector.on_heartbeat(heartbeat)
         self.collector.on_heartbeat(heartbeat)  # for the epoch that it shows
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -557,7 +557,7 @@
 
     answers = [collector.on_heartbeat(RUNNING) for collector in (before, during, isolated)]
 
-    assert answers == [
+    assert [(answer.status, answer.body) for answer in answers] == [
         (503, b'{"error":"the records are being rebuilt"}'),
         (200, b'{"baton":2748779069440,"orders":[{"verb":"halt","leg":"job-1/0","try":2,"leeway_s":0.0}]}'),
         (503, b'{"error":"cut from the state service for too long"}'),
