--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -16,6 +16,7 @@
 from spurarch.coordination.membership.membership import Membership, rate_shares
 from spurarch.coordination.membership.store_reachability import StoreReachability
 from spurarch.coordination.partition.command_sender import direct_connections
+from spurarch.coordination.partition.owned_partition import OwnerContext
 from spurarch.coordination.partition.owner import PartitionOwner
 from spurarch.coordination.runtime.event_loop_lag import EventLoopLag
 from spurarch.coordination.runtime.stall_detector import CHECK_INTERVAL_S, StallDetector
@@ -123,17 +124,19 @@
         self._lag = EventLoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
         self.owner = PartitionOwner(
-            self.replica,
-            self.membership,
-            self.view,
-            self.cloud,
-            self.reachability,
-            self.stall_detector,
-            self._lag,
-            deployment,
-            tuning,
-            network,
-            extension.coverage if extension is not None else None,
+            OwnerContext(
+                self.replica,
+                self.membership,
+                self.view,
+                self.cloud,
+                self.reachability,
+                self.stall_detector,
+                self._lag,
+                deployment,
+                tuning,
+                network,
+                extension.coverage if extension is not None else None,
+            )
         )
         self.job_api = JobApi(
             self.replica,
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -1,9 +1,10 @@
-"""Commands that go straight to workers' own addresses, instead of waiting for their next reports."""
+"""Commands that go straight to workers' own addresses, instead of waiting for their next heartbeats."""
 
 from __future__ import annotations
 
 import logging
 import time
+from typing import TYPE_CHECKING
 
 import curio
 import msgspec
@@ -15,36 +16,45 @@
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Network, Requests
 
+if TYPE_CHECKING:
+    from spurarch.coordination.partition.record_feed import RecordFeed
+
 log = logging.getLogger(__name__)
 
-DIRECT_S = 4.0  # for an answer
-DIRECT_SHARE, DIRECT_MOST = 8, 150  # of all sockets, one in so many is for connections to workers
-AGAIN_S = 0.5  # between commands to one machine
-QUIET_PAUSE_S = 2.0  # between tries to tell a silent machine that a task of it is cancelled
+RESPONSE_TIMEOUT_S = 4.0
+SOCKETS_PER_CONNECTION = 8  # of all sockets, one in so many is for connections to workers
+MIN_CONNECTIONS, MAX_CONNECTIONS = 8, 150
+REPEAT_INTERVAL_S = 0.5  # between requests to one machine
+SILENT_REPEAT_INTERVAL_S = 2.0  # between tries to tell a silent machine that a task of it is cancelled
 
 
 def direct_connections(sockets: int) -> int:
-    """Connections to workers at a time.
+    """How many connections to workers are kept, of a number of sockets.
 
-    All of a fleet may need commands in the same second, and workers' own reports, which bring the same commands, need
-    the other sockets.
+    All of a fleet may need commands in the same second, and workers' own heartbeats, whose answers bring the same
+    commands, need the other sockets.
     """
-    return max(8, min(DIRECT_MOST, sockets // DIRECT_SHARE))
+    return max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // SOCKETS_PER_CONNECTION))
 
 
 class CommandSender:
     """Sends commands of all partitions of this controller over a bounded number of connections."""
 
-    def __init__(self, network: Network, permissions: Permissions, silent_s: float, sockets: int) -> None:
-        self._network, self._permissions, self._silent_s = network, permissions, silent_s
-        self._clients: dict[str, Requests] = {}
-        self._most = direct_connections(sockets)
-        self._slots = curio.Semaphore(self._most)
-        self._in_line: set[str] = set()  # machines whose commands wait for a connection
+    def __init__(
+        self, network: Network, permissions: Permissions, feed: RecordFeed, silent_s: float, sockets: int
+    ) -> None:
+        self._network, self._permissions, self._feed, self._silent_s = network, permissions, feed, silent_s
+        self._clients: dict[str, Requests] = {}  # by address, the one used last at the end
+        self._max_connections = direct_connections(sockets)
+        self._slots = curio.Semaphore(self._max_connections)
+        self._queued: set[str] = set()  # machines whose commands wait for a connection
 
     async def send(self, owned: OwnedPartition) -> None:
-        """Sends what the partition's machines have to be told; their next reports repeat what got lost."""
-        partition, now = owned.partition, time.monotonic()
+        """Sends what the partition's machines need by the newest records; answers to heartbeats repeat what got lost."""
+        partition = owned.partition
+        if partition.state.records_read:
+            self._feed.update(owned)
+        now = time.monotonic()
         if not partition.machines_needing_commands or not self._permissions.may_command(now):
             return
         for name in list(partition.machines_needing_commands):
@@ -52,48 +62,48 @@
             if machine is None or not partition.commands.needs_command(machine):
                 del partition.machines_needing_commands[name]
                 continue
-            quiet = now - (machine.last_heartbeat_at or now) > self._silent_s
+            silent = now - (machine.last_heartbeat_at or now) > self._silent_s
             if (
                 machine.next_command_at > now
-                or name in self._in_line
-                or (quiet and name not in partition.machines_with_cancelled_tasks)
+                or name in self._queued
+                or (silent and name not in partition.machines_with_cancelled_tasks)
             ):
                 continue  # one that is silent would only keep a connection from others
-            machine.next_command_at = now + (QUIET_PAUSE_S if quiet else AGAIN_S)
-            self._in_line.add(name)
-            await curio.spawn(self._direct, owned, machine, daemon=True)
+            machine.next_command_at = now + (SILENT_REPEAT_INTERVAL_S if silent else REPEAT_INTERVAL_S)
+            self._queued.add(name)
+            await curio.spawn(self._send_one, owned, machine, daemon=True)
 
     def _client(self, address: str) -> Requests:
         client = self._clients.pop(address, None) or self._network.client(address, 1)
         self._clients[address] = client
-        while len(self._clients) > self._most:
+        while len(self._clients) > self._max_connections:
             self._clients.pop(next(iter(self._clients)))
         return client
 
-    async def _direct(self, owned: OwnedPartition, machine: Machine) -> None:
+    async def _send_one(self, owned: OwnedPartition, machine: Machine) -> None:
         """Commands are worked out when there is a connection for them: in a mass start that may take a while."""
         async with self._slots:
-            self._in_line.discard(machine.name)
+            self._queued.discard(machine.name)
             now = time.monotonic()
             if self._permissions.owns(owned.partition) and self._permissions.may_command(now):
-                sent = owned.partition.direct_commands.next_request(machine)
-                if sent is not None:
-                    await self._command(owned, machine, sent)
+                request = owned.partition.direct_commands.next_request(machine)
+                if request is not None:
+                    await self._exchange(owned, machine, request)
 
-    async def _command(self, owned: OwnedPartition, machine: Machine, sent: wire.DirectCommands) -> None:
+    async def _exchange(self, owned: OwnedPartition, machine: Machine, request: wire.DirectCommands) -> None:
         partition, client = owned.partition, self._client(machine.addr)
         try:
-            status, answer = await client.request("POST", wire.PATH_COMMANDS, wire.encode(sent), DIRECT_S)
+            status, body = await client.request("POST", wire.PATH_COMMANDS, wire.encode(request), RESPONSE_TIMEOUT_S)
         except NoAnswerError as err:
             log.debug("direct command unanswered machine=%s error=%s", machine.name, err)
-            partition.direct_commands.on_failure(machine, sent, err.sent)
+            partition.direct_commands.on_failure(machine, request, err.sent)
             return
         heartbeat = None
         if status in (200, 409):
             try:
-                heartbeat = wire.heartbeat_decoder.decode(answer)
+                heartbeat = wire.heartbeat_decoder.decode(body)
             except msgspec.DecodeError as err:
                 log.warning("unreadable worker answer machine=%s error=%s", machine.name, err)
-        partition.direct_commands.on_response(machine, sent, heartbeat, time.monotonic())
+        partition.direct_commands.on_response(machine, request, heartbeat, time.monotonic())
         if partition.terminal_attempts:
             await owned.wakeup.set()
--- /dev/null
+++ b/spurarch/coordination/partition/record_feed.py
@@ -0,0 +1,69 @@
+"""Hands changed records to the partitions that this controller owns.
+
+Loaded once the records are read: answers to workers after a restart don't need it.
+"""
+
+from __future__ import annotations
+
+import time
+
+from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
+from spurarch.storage import records
+
+
+class RecordFeed:
+    """Keeps owned partitions up to date with the replica."""
+
+    def __init__(self, context: OwnerContext, owned: dict[str, OwnedPartition], changed_keys: dict[str, None]) -> None:
+        """Feeds partitions.
+
+        Args:
+            context: What the owner works with.
+            owned: The owned partitions by zone, kept by the owner.
+            changed_keys: Collects keys of changed records; emptied here.
+        """
+        self._replica, self._view, self._reachability = context.replica, context.view, context.reachability
+        self._owned, self._changed_keys = owned, changed_keys
+
+    def distribute(self) -> None:
+        """Marks changed records for every partition that they belong to."""
+        self._view.update()
+        if self._changed_keys:
+            for zone, owned in self._owned.items():
+                prefixes = (f"{records.ALLOCATION}{zone}/", f"{records.MACHINE}{zone}/", records.JOB)
+                owned.changed_keys.update((key, None) for key in self._changed_keys if key.startswith(prefixes))
+            self._changed_keys.clear()
+
+    def update(self, owned: OwnedPartition) -> None:
+        """Applies all changes that are known to a partition whose records have been read."""
+        self.distribute()
+        if owned.changed_keys:
+            owned.partition.apply_records(self._replica.state, owned.changed_keys, time.monotonic())
+            owned.changed_keys.clear()
+
+    async def prepare(self, owned: OwnedPartition) -> None:
+        """Brings a partition up to date before a round; its records are read by a copy newer than its claim."""
+        if owned.partition.state.records_read:
+            self.update(owned)
+        elif not await self._read(owned):
+            return
+        self.stop_jobs_cancelled_by_peers(owned)
+
+    async def _read(self, owned: OwnedPartition) -> bool:
+        partition, state = owned.partition, self._replica.state
+        if not await self._replica.sync():
+            if self._replica.loaded and not owned.provisional:
+                # What was read before the claim serves to stop cancelled tasks, and for nothing else.
+                partition.apply_records(state, list(state.entries), time.monotonic())
+                owned.provisional = True
+            return False
+        self.distribute()
+        partition.apply_records(state, list(dict.fromkeys([*state.entries, *owned.changed_keys])), time.monotonic())
+        owned.changed_keys.clear()
+        partition.state.records_read = True
+        return True
+
+    def stop_jobs_cancelled_by_peers(self, owned: OwnedPartition) -> None:
+        """Stops what peers say is cancelled while the state service is out of reach."""
+        for job_id in self._reachability.cancelled_by_peers:
+            owned.partition.stop_job(job_id, time.monotonic())
--- /dev/null
+++ b/spurarch/coordination/partition/record_writer.py
@@ -0,0 +1,202 @@
+"""Writes what rounds of a partition decided on: machines, ends, starts, and allocations that can be deleted.
+
+Loaded with the first round of a partition.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Collection
+from dataclasses import dataclass
+
+import curio
+
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.partition.allocation_changes import is_live_gang, merge_changes
+from spurarch.coordination.partition.command_sender import CommandSender
+from spurarch.coordination.partition.machine import MachineState
+from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
+from spurarch.coordination.partition.partition import Partition
+from spurarch.storage import records
+from spurarch.storage.rate_limits import Urgency
+from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
+from spurarch.storage.replica import ClusterState, Write
+from spurarch.storage.store import TransactionStatus
+
+log = logging.getLogger(__name__)
+
+MOST_BATCHES = 2  # of one urgency in one round, so that what comes meanwhile is planned in its place
+DELETE_INTERVAL_S = 10.0  # after which allocations of jobs that are over are deleted even if writes are scarce
+
+AllocationChanges = dict[AllocationKey, dict[int, TaskEntry]]
+
+
+@dataclass(slots=True)
+class _Change:
+    """A change that a round decided on: new entries of an allocation, its deletion, or a write of another record.
+
+    Attributes:
+        write: The write of another record, or the deletion of the allocation.
+        allocation: The allocation that is changed or deleted.
+        entries: New entries by task index; None for a deletion.
+        starting: Some of the entries assign a task to a machine.
+    """
+
+    write: Write | None
+    allocation: AllocationKey | None = None
+    entries: dict[int, TaskEntry] | None = None
+    starting: bool = False
+
+
+def machine_writes(partition: Partition, cluster: ClusterState, now: float) -> list[Write]:
+    """Writes for machines that are new, cordoned or schedulable again, or released.
+
+    Released machines without a record are dropped from the partition.
+    """
+    out = []
+    on_record = cluster.machines[partition.zone]
+    for machine in list(partition.machines.values()):
+        key = records.machine_key(partition.zone, machine.name)
+        record = on_record.get(machine.name)
+        if machine.state is MachineState.RELEASED:
+            if machine.attempts:
+                continue
+            if record is not None:
+                out.append(Write(key, None))
+            else:
+                del partition.machines[machine.name]
+            continue
+        if machine.state is MachineState.UNCONFIRMED or not machine.type:
+            continue
+        if partition.unreachable and machine.state is MachineState.LEASE_EXPIRED:
+            continue  # one change marks the whole zone as unreachable
+        wanted = MachineRecord(machine.type, machine.spot, machine.addr, machine.can_accept_tasks(now))
+        if record != wanted:
+            out.append(Write(key, wanted))
+    return out
+
+
+class RecordWriter:
+    """Commits changes in batches, the most urgent first, guarded by what they depend on."""
+
+    def __init__(self, context: OwnerContext, permissions: Permissions, commands: CommandSender) -> None:
+        self._replica, self._view = context.replica, context.view
+        self._permissions, self._commands = permissions, commands
+        self._most_changes = context.deployment.state.transaction_changes
+        self._record_tasks = records.tasks_per_record(context.deployment.state.value_bytes)
+
+    async def commit(self, owned: OwnedPartition, changes: AllocationChanges, other: list[Write]) -> None:
+        """Writes what changed, in transactions within the limits that guard the partition and the jobs.
+
+        Machines and replicas go first. The rest may wait long for its turn, so it goes on beside the rounds: a replica
+        that has to start meanwhile would wait with it (tests/test_bursts.py). Ends of arrays go with their starts.
+        Deletions wait until nothing else does, or for `DELETE_INTERVAL_S`, since quotas wait for them.
+        """
+        groups = self._by_urgency(owned, changes, other)
+        await self._commit_group(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
+        if not owned.placer.pending_changes:
+            bulk, now = groups[Urgency.STARTS], time.monotonic()
+            if self._replica.store.can_write_now(Urgency.ENDS) or now - owned.deleted_at > DELETE_INTERVAL_S:
+                owned.deleted_at = now
+                bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
+            owned.placer.pending_changes = {c.allocation: c.entries or {} for c in bulk if c.allocation is not None}
+            if owned.placer.pending_changes:
+                await curio.spawn(self._commit_bulk, owned, bulk, daemon=True)
+
+    async def _commit_bulk(self, owned: OwnedPartition, bulk: list[_Change]) -> None:
+        try:
+            await self._commit_group(owned, bulk, Urgency.STARTS)
+        except curio.CancelledError:
+            raise
+        except Exception:  # must not end the controller
+            log.exception("partition transactions failed partition=%s", owned.partition.zone)
+        finally:
+            owned.placer.pending_changes = {}
+
+    async def _commit_group(self, owned: OwnedPartition, group: list[_Change], urgency: Urgency) -> None:
+        """Makes some of the changes; the rest is planned again, with what came meanwhile in its place."""
+        for batch in self._batches(owned.partition.zone, group)[:MOST_BATCHES]:
+            await self._commit_batch(owned, batch, urgency)
+            await self._commands.send(owned)
+
+    def _by_urgency(
+        self, owned: OwnedPartition, changes: AllocationChanges, other: list[Write]
+    ) -> dict[Urgency, list[_Change]]:
+        pending: Collection[AllocationKey] = owned.placer.pending_changes
+        out: dict[Urgency, list[_Change]] = {Urgency.REPLICAS: [_Change(write) for write in other], Urgency.STARTS: []}
+        deletable = dict.fromkeys(owned.terminal_records.deletable_allocations(self._replica.state))
+        out[Urgency.ENDS] = [_Change(Write(str(allocation), None), allocation) for allocation in deletable]
+        for allocation, entries in changes.items():
+            if allocation in deletable or allocation in pending:
+                continue
+            job = self._view.jobs.get(allocation.job)
+            starting = any(entry.state == records.ASSIGNED for entry in entries.values())
+            # All starts of a gang are one change as a rule, and its machines wait for the last of them.
+            urgency = Urgency.REPLICAS if job is not None and (job.service or job.gang) else Urgency.STARTS
+            out[urgency].append(_Change(None, allocation, entries, starting))
+        return out
+
+    def _batches(self, zone: str, changes: list[_Change]) -> list[list[_Change]]:
+        """Splits changes by the limits on a transaction's bytes and number of changes."""
+        out: list[list[_Change]] = []
+        batch_bytes = batch_changes = 0
+        allocations = self._replica.state.zone_allocations[zone]
+        for change in changes:
+            updates = change.allocation is not None and change.write is None
+            record = allocations.get(change.allocation) if change.allocation is not None and updates else None
+            change_bytes = records.change_bytes(record)
+            pieces = records.pieces_of(record, self._record_tasks) if record is not None else 1
+            if not out or batch_changes + pieces > self._most_changes or batch_bytes + change_bytes > records.TXN_BYTES:
+                out.append([])
+                batch_bytes = batch_changes = 0
+            out[-1].append(change)
+            batch_bytes += change_bytes
+            batch_changes += pieces
+        return out
+
+    def _writes_of(self, owned: OwnedPartition, change: _Change) -> list[Write]:
+        """The change as it applies now, or nothing.
+
+        Another controller's transaction may have come since it was planned: writing back an allocation as it was then
+        would bring back tasks that the leader has moved since.
+        """
+        if change.allocation is None:
+            return [change.write] if change.write is not None else []
+        cluster = self._replica.state
+        record = cluster.zone_allocations[owned.partition.zone].get(change.allocation)
+        if record is None:
+            return []
+        if change.entries is None:
+            deletable = owned.terminal_records.is_deletable(cluster, change.allocation)
+            return [change.write] if change.write is not None and deletable else []
+        new = merge_changes(record, change.entries, is_live_gang(cluster, change.allocation.job))
+        if new is None:
+            return []
+        pieces = records.split(change.allocation, new, self._record_tasks)
+        return [Write(str(allocation), piece) for allocation, piece in pieces]
+
+    async def _commit_batch(self, owned: OwnedPartition, batch: list[_Change], urgency: Urgency) -> None:
+        if not self._permissions.owns(owned.partition):
+            return
+        writes: list[Write] = []
+        guards = {records.PARTITION + owned.partition.zone}
+        for change in batch:
+            change_writes = self._writes_of(owned, change)
+            writes += change_writes
+            if change_writes and change.starting and change.allocation is not None:
+                guards.add(records.JOB + change.allocation.job)
+        if not writes:
+            return
+        result = await self._replica.commit(writes, guards, urgency=urgency)
+        if result.status is TransactionStatus.INVALID and len(batch) > 1:
+            # One change that the state service refuses must not keep the others from ever being made.
+            for change in batch:
+                await self._commit_batch(owned, [change], urgency)
+        elif result.status not in (TransactionStatus.COMMITTED, TransactionStatus.NOT_EXECUTED):
+            log.info(
+                "owner transaction not committed partition=%s status=%s conflicts=%s",
+                owned.partition.zone,
+                result.status.value,
+                result.failed_keys,
+            )
--- /dev/null
+++ b/spurarch/coordination/partition/rounds.py
@@ -0,0 +1,150 @@
+"""Decision rounds of owned partitions: ends to record, tasks to place, tasks to move.
+
+Loaded once the records are read: answers to workers after a restart don't need it.
+"""
+
+from __future__ import annotations
+
+import logging
+import time
+from random import Random
+
+import curio
+
+from spurarch.coordination.membership.permissions import Permissions
+from spurarch.coordination.partition.allocation_changes import checkpoint_grace_s
+from spurarch.coordination.partition.command_sender import CommandSender
+from spurarch.coordination.partition.machine import TaskAttempt
+from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
+from spurarch.coordination.partition.record_feed import RecordFeed
+from spurarch.coordination.partition.record_writer import AllocationChanges, RecordWriter, machine_writes
+from spurarch.coordination.runtime.round_budget import RoundBudget
+from spurarch.coordination.scaling.scale_in import ScaleIn
+from spurarch.storage.rate_limits import Urgency
+from spurarch.storage.replica import Write
+
+log = logging.getLogger(__name__)
+
+PAUSE_S = 0.03  # between two rounds
+FAILURE_PAUSE_S = 0.1
+PARTITION_TICK_S = 0.2  # a little below the interval at which all who wait for changes are woken
+MOST_PLACED = 200  # allocations in one round
+END_DELAY_S = 3.0  # ends are collected for up to that long while few writes are left
+END_DELAY_BELOW = 0.8  # share of the write rate that is left, below which ends are collected
+END_DELAY_SCARCE_S = 6.0  # when only starts are still written
+SCARCE_LEVEL = 0.5  # share of the write rate that is left, below which placement saves writes
+MOVE_S = 15.0  # a replica that is moved keeps its target's capacity for that long
+SEARCH_PUT_OFF_S = 30.0  # at most, while the event loop is late
+
+
+class PartitionRounds:
+    """Runs the rounds of every owned partition, each in a task of its own."""
+
+    def __init__(
+        self,
+        context: OwnerContext,
+        permissions: Permissions,
+        scale_in: ScaleIn,
+        feed: RecordFeed,
+        commands: CommandSender,
+    ) -> None:
+        self._context, self._permissions, self._scale_in = context, permissions, scale_in
+        self._feed, self._commands = feed, commands
+        self._writer = RecordWriter(context, permissions, commands)
+        self._random = Random(context.tuning.seed)
+
+    async def run(self, owned: OwnedPartition, owned_partitions: dict[str, OwnedPartition]) -> None:
+        """Rounds of one partition as long as it is owned: when something changed, and every now and then."""
+        zone = owned.partition.zone
+        while owned_partitions.get(zone) is owned and self._permissions.owns(owned.partition):
+            await owned.wakeup.wait()
+            owned.wakeup.clear()
+            try:
+                await self._feed.prepare(owned)
+                if owned.partition.state.records_read:
+                    await self._run_round(owned)
+            except curio.CancelledError:
+                raise
+            except Exception:  # a failure in one round must not end the controller
+                log.exception("partition round failed partition=%s", zone)
+                await curio.sleep(FAILURE_PAUSE_S)
+            await curio.sleep(self._context.lag.pause_s(PAUSE_S))
+
+    async def _run_round(self, owned: OwnedPartition) -> None:
+        partition, cluster, now = owned.partition, self._context.replica.state, time.monotonic()
+        writes: list[Write] = []
+        if now >= owned.next_tick and self._permissions.is_not_stalled(now):
+            owned.next_tick = now + PARTITION_TICK_S
+            partition.tick(now)
+            writes = machine_writes(partition, cluster, now)
+        partition.state.now = now
+        changes = owned.terminal_records.entries(cluster, self._end_delay_s())
+        if partition.unassigned:
+            await self._place(owned, changes, now)
+        await self._writer.commit(owned, changes, writes)
+        self._search(owned, now)
+        await self._commands.send(owned)
+        await self._scale_in.release_idle(owned, now)
+
+    async def _place(self, owned: OwnedPartition, changes: AllocationChanges, now: float) -> None:
+        """Adds the assignments of a placement round to the changes, and stops what it preempts."""
+        partition, budget = owned.partition, self._budget()
+        owned.placer.writes_scarce = self._context.replica.store.write_level() < SCARCE_LEVEL
+        placed = owned.placer.run_round(partition, self._context.view, now, budget.spent, MOST_PLACED, time.time())
+        if self._permissions.records_are_fresh(now):
+            for attempt in placed.preempt:
+                log.info("preempting task job=%s task=%d machine=%s", *attempt.key, attempt.machine)
+                partition.request_stop(attempt, self._grace_s(attempt))
+        for allocation, entries in placed.entries.items():
+            changes.setdefault(allocation, {}).update(entries)
+        if placed.unfinished:
+            await owned.wakeup.set()
+
+    def _budget(self) -> RoundBudget:
+        return RoundBudget(self._context.tuning.budget_ms / 1000, self._context.deployment.limits.cpu)
+
+    def _end_delay_s(self) -> float:
+        """How long ends are collected: not at all while writes are plentiful, longer the scarcer they are."""
+        level = self._context.replica.store.write_level()
+        if level <= Urgency.STARTS.value:
+            return END_DELAY_SCARCE_S
+        return END_DELAY_S * min(1.0, max(0.0, END_DELAY_BELOW - level) / END_DELAY_BELOW)
+
+    def _grace_s(self, attempt: TaskAttempt) -> float:
+        job = self._context.replica.state.jobs.get(attempt.allocation.job)
+        return checkpoint_grace_s(job.spec) if job is not None else 0.0
+
+    def _search(self, owned: OwnedPartition, now: float) -> None:
+        """Starts a local search when its time has come; draining machines take tasks again when some wait."""
+        if owned.partition.unassigned:
+            for machine in owned.partition.machines.values():
+                machine.draining = False
+        if now < owned.next_search or (self._context.lag.late and now < owned.next_search + SEARCH_PUT_OFF_S):
+            return
+        first = owned.next_search == 0.0
+        owned.next_search = now + self._context.tuning.round_s
+        if not first and self._permissions.records_are_fresh(now):
+            self._refine(owned, now)
+
+    def _refine(self, owned: OwnedPartition, now: float) -> None:
+        """Tabu search and consolidation; their moves begin with a stop."""
+        from spurarch.coordination.scheduling.local_search import refine  # not needed to answer workers after a restart
+
+        partition, context = owned.partition, self._context
+        result = refine(partition, context.view, context.tuning, now, self._random, self._budget().spent)
+        if result.empty is not None:
+            log.info("draining machine for consolidation machine=%s", result.empty)
+            partition.machines[result.empty].draining = True
+        for attempt, target in result.moves:
+            log.info(
+                "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
+            )
+            owned.placer.move_targets[attempt.key] = target, now + MOVE_S
+            partition.request_stop(attempt, self._grace_s(attempt))
+        if result.search is not None and result.search.moves:
+            log.info(
+                "placement search improved partition=%s cost_before=%.4f cost_after=%.4f",
+                partition.zone,
+                result.search.before,
+                result.search.after,
+            )
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from spurarch.coordination.controller import Controller
-from spurarch.coordination.partition.owner import PartitionOwner
+from spurarch.coordination.partition.rounds import PartitionRounds
 from spurarch.settings import CloudLimits, Deployment, External, Platform, StateLimits, Tuning, Workers
 from spurarch.transport import http
 from spurarch.transport.http import HttpServer, Request, Response
@@ -92,14 +92,14 @@
 
 def test_an_idle_controller_does_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     rounds = 0
-    work = PartitionOwner._run_round
+    work = PartitionRounds._run_round
 
-    async def counted(self: PartitionOwner, held: object) -> None:
+    async def counted(self: PartitionRounds, held: object) -> None:
         nonlocal rounds
         rounds += 1
         await work(self, held)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(PartitionOwner, "_run_round", counted)
+    monkeypatch.setattr(PartitionRounds, "_run_round", counted)
     network, sleeps = StandInNetwork(), 0
     sleep = curio.sleep
 
