--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -21,6 +21,7 @@
 
 import curio
 
+from spurarch.storage.history import ARCHIVED
 from spurarch.transport.http import Handler, HttpClient, HttpServer, NoAnswerError, Request, Response
 from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog
 from tests.sim.addresses import ReservedAddresses
@@ -236,6 +237,8 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.saved: tuple[int, dict[str, Any]] = (0, {})
         self.users = HttpClients(self.nodes, self.random)
+        self._users_paused = False
+        self._requests_in_flight = 0
 
     def __enter__(self) -> Self:
         """Itself."""
@@ -394,7 +397,7 @@
         body = self.describe(job)
         self.log.tasks[job.ref] = job.tasks if job.kind == "batch" else 0
         while self.clock.now < until:
-            status, _ = await self.users.ask("POST", "/submissions", body)
+            status, _ = await self._ask("POST", "/submissions", body)
             if status in (200, 201):
                 self._note(ACCEPTED, job.ref)
                 break
@@ -404,12 +407,38 @@
             await curio.sleep(0.3 + 0.2 * self.random.random())
 
     async def _poll(self, job_id: str) -> None:
-        status, answer = await self.users.ask("GET", f"/submissions/{job_id}", b"")
+        status, answer = await self._ask("GET", f"/submissions/{job_id}", b"")
         if status == 200:
             self._note(TOLD, job_id, answer["standing"])
         elif status == 404:
             self._note(TOLD, job_id, "unknown")
 
+    async def _ask(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
+        """A user's request, once users are not paused."""
+        while self._users_paused:
+            await curio.sleep(0.05)
+        self._requests_in_flight += 1
+        try:
+            return await self.users.ask(method, target, body)
+        finally:
+            self._requests_in_flight -= 1
+
+    async def pause_users(self, limit_s: float) -> None:
+        """Users ask nothing more, and the archive holds whatever they were told."""
+        self._users_paused = True
+        await self.until(lambda: not self._requests_in_flight, limit_s, "answers to all requests under way")
+        told_at = self.store.revision
+        await self.until(lambda: self.archived_revision() >= told_at, limit_s, f"an archive up to revision {told_at}")
+
+    def resume_users(self) -> None:
+        """Users go on."""
+        self._users_paused = False
+
+    def archived_revision(self) -> int:
+        """Up to which revision the archive says that it holds all records; 0 if it has said nothing yet."""
+        archived = self.store.keys.get(ARCHIVED)
+        return int(archived[0]["revision"]) if archived is not None else 0
+
     def _note(self, kind: str, job_id: str, detail: str = "") -> None:
         self.log.note(Event(self.clock.now, kind, job_id, detail=detail))
 
@@ -417,7 +446,7 @@
         """A user calls a job off, and asks until it is confirmed."""
         self._note(ASKED_TO_CANCEL, job_id)
         while self.clock.now < until:
-            status, answer = await self.users.ask("POST", f"/submissions/{job_id}/cancel", b"{}")
+            status, answer = await self._ask("POST", f"/submissions/{job_id}/cancel", b"{}")
             if status == 200:
                 self._note(TOLD, job_id, answer["standing"])
                 return
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -57,12 +57,13 @@
 async def wiped_without_survivors(it: Installation) -> None:
     await begin(it)
     await load(it)
-    await curio.sleep(1.0)  # the archive has what users were told so far
+    await it.pause_users(LIMIT_S)
     for index in range(it.settings.controllers):
         it.kill(f"n{index}")
     it.store.wipe()
     for index in range(it.settings.controllers):
         it.start_controller(index)
+    it.resume_users()
     await settle(it, 2)
 
 
