--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -24,7 +24,7 @@
     "wiped",
     "wiped-all-restarted",
     "wiped-one-ended",
-    "worker-reports-late",
+    "worker-heartbeats-late",
 }
 FILES = sorted((Path(__file__).parent / "scenarios" / "recovery").glob("*.txt"))
 PLAYS = [(path, values) for path in FILES for values in Scenario.variants(path)]
