--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -50,7 +50,7 @@
         self._queued: set[str] = set()  # machines whose commands wait for a connection
 
     async def send(self, owned: OwnedPartition) -> None:
-        """Sends what the partition's machines need by the newest records; answers to heartbeats repeat what got lost."""
+        """Sends what the partition's machines need by the newest records; answers to heartbeats repeat what is lost."""
         partition = owned.partition
         if partition.state.records_read:
             self._feed.update(owned)
--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, TaskAttempt
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, TaskAttempt, TaskKey
 from spurarch.coordination.partition.state import ArchiveCoverage, PartitionContext, PartitionState
 from spurarch.protocol import wire
 
@@ -48,7 +48,7 @@
         return out
 
     @staticmethod
-    def _archived(machine: Machine, coverage: ArchiveCoverage) -> dict[tuple[str, int], int]:
+    def _archived(machine: Machine, coverage: ArchiveCoverage) -> dict[TaskKey, int]:
         """Ended tasks that the worker need not list any more.
 
         The record of an end can be lost with the state service's data. As long as the archive does not cover it, the
@@ -100,7 +100,7 @@
     def _stops_for_unrecorded(machine: Machine, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Stops and forgets listed tasks that no record assigns to this machine."""
         out: list[wire.Command] = []
-        listed: dict[tuple[str, int], int] = {}
+        listed: dict[TaskKey, int] = {}
         for task in heartbeat.tasks:
             key = wire.split_task(task.task)
             attempt = machine.attempts.get(key) if key else None
--- a/spurarch/coordination/partition/failures.py
+++ b/spurarch/coordination/partition/failures.py
@@ -1,4 +1,4 @@
-"""What failed tasks teach of their machines and of their jobs: whom to leave alone, and for how long. No I/O."""
+"""Attributes failures of tasks to machines or to jobs, which are left alone for a while. No I/O."""
 
 from __future__ import annotations
 
@@ -11,27 +11,36 @@
 
 log = logging.getLogger(__name__)
 
-FAULTS_BEFORE_PAUSE = 2
-FAULT_PAUSE_S = 30.0
+FAILURES_BEFORE_QUARANTINE = 2
+QUARANTINE_S = 30.0  # for each failure that was attributed to the machine
 FAULTY_JOB_MACHINES = 2  # a job without a success that fails on so many is faulty itself
-REFUSAL_PAUSE_S = 2.0
-BACK_OFF_FIRST_S, BACK_OFF_MOST_S, BACK_OFF_DOUBLINGS = 0.25, 30.0, 8
+REFUSAL_BACKOFF_S = 2.0
+JOB_BACKOFF_S, MAX_JOB_BACKOFF_S, MAX_BACKOFF_DOUBLINGS = 0.25, 30.0, 8
 
 
 @dataclass(slots=True)
 class JobBackoff:
-    """What a job's failures taught: when to try again."""
+    """When a job's tasks may be tried again after failures.
+
+    Attributes:
+        failures: Failures in a row.
+        not_before: Monotonic time of the next try.
+        has_completed_task: A task of the job has completed once.
+        machines: Machines on which it failed.
+        failures_by_machine: Failures of it that were attributed to a machine.
+    """
 
     failures: int = 0
     not_before: float = 0.0
-    has_completed_task: bool = False  # a task of it has completed
-    machines: set[str] = field(default_factory=set)  # where it failed
-    failures_by_machine: dict[str, int] = field(default_factory=dict)  # failures of it that were put down to a machine
+    has_completed_task: bool = False
+    machines: set[str] = field(default_factory=set)
+    failures_by_machine: dict[str, int] = field(default_factory=dict)
 
     def record_failure(self, now: float) -> None:
         """One more failure: the next try waits longer."""
         self.failures += 1
-        self.not_before = now + min(BACK_OFF_MOST_S, BACK_OFF_FIRST_S * 2 ** min(self.failures, BACK_OFF_DOUBLINGS))
+        doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
+        self.not_before = now + min(MAX_JOB_BACKOFF_S, JOB_BACKOFF_S * 2**doublings)
 
 
 class FailureAttribution:
@@ -42,16 +51,16 @@
         self.backoffs: dict[str, JobBackoff] = defaultdict(JobBackoff)
 
     def record_exit(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
-        """Learns from the way a task ended."""
+        """Updates backoffs and quarantines from the reason that a task ended with."""
         backoff = self.backoffs[attempt.allocation.job]
         if attempt.exit_reason == wire.REASON_ERROR:
             self._attribute_to_machine(machine, backoff)
             backoff.record_failure(now)
             log.info("task failed job=%s task=%d machine=%s attempt=%d", *attempt.key, machine.name, attempt.number)
-            if machine.task_failures >= FAULTS_BEFORE_PAUSE:
-                machine.quarantined_until = now + FAULT_PAUSE_S * machine.task_failures
+            if machine.task_failures >= FAILURES_BEFORE_QUARANTINE:
+                machine.quarantined_until = now + QUARANTINE_S * machine.task_failures
         elif attempt.exit_reason in (wire.REASON_NO_CAPACITY, wire.REASON_TASK_PRESENT):
-            machine.backoff_until = now + REFUSAL_PAUSE_S
+            machine.backoff_until = now + REFUSAL_BACKOFF_S
         elif attempt.exit_reason == wire.REASON_UNKNOWN_TASK:
             backoff.record_failure(now)
         elif attempt.exit_reason == wire.REASON_DONE:
@@ -67,11 +76,11 @@
             self._clear_attributed_failures(backoff)
 
     def _clear_attributed_failures(self, backoff: JobBackoff) -> None:
-        """A job that fails wherever it is put says nothing of the machines, nor did its failures before it showed."""
+        """A job that fails wherever it is placed proves nothing about machines, nor did its earlier failures."""
         for name, failures in backoff.failures_by_machine.items():
             machine = self._machines.get(name)
             if machine is not None:
                 machine.task_failures = max(0, machine.task_failures - failures)
-                if machine.task_failures < FAULTS_BEFORE_PAUSE:
+                if machine.task_failures < FAILURES_BEFORE_QUARANTINE:
                     machine.quarantined_until = 0.0
         backoff.failures_by_machine.clear()
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -1,13 +1,13 @@
 """Gangs: jobs whose tasks run at the same time or not at all. Pure: no I/O, and no clock of its own.
 
-A gang lives in one partition. All members of an attempt share its number, and workers find each other by it, so a number
+A gang is in one partition. All members of an attempt share its number, and workers find each other by it, so a number
 is never used for two sets of machines. Three things follow for the owner of the partition:
 
 - A member is told to start only when the records show *every* member assigned under the same number. Whoever owns the
   partition next sees the same records and repeats the same starts, or none.
-- Once a member has left without completing, the attempt is over: the others are told to leave, and the next number is
-  given out only when the records show that none of them is assigned any more.
-- Members complete together, so one that is reported or recorded as completed proves that all are.
+- Once a member has left without completing, the attempt has failed: the others are told to stop, and the next number is
+  assigned only when the records show that none of them is assigned any more.
+- Members complete together, so one that is reported or recorded as completed proves that all have.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 import enum
 import logging
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.protocol import wire
@@ -25,18 +26,18 @@
 
 
 class GangState(enum.Enum):
-    """Where a gang stands."""
+    """How far the newest attempt of a gang is."""
 
     WAITING = "waiting"  # no member has a machine
-    ASSIGNING = "assigning"  # some members have one on record; none of this attempt was ever told to start
-    STARTING = "starting"  # all have one; they are told to start and fetch their image
+    ASSIGNING = "assigning"  # some members have a machine on record; none of this attempt was ever told to start
+    STARTING = "starting"  # all have a machine; they are told to start and fetch their image
     GATHERING = "gathering"  # a member waits for the others
     RUNNING = "running"
-    STOPPING = "stopping"  # the attempt is over; its members leave their machines
+    STOPPING = "stopping"  # the attempt has failed; its members leave their machines
     ENDED = "ended"  # a member has completed, which proves that all have
 
 
-_NEXT = {
+_NEXT_STATES = {
     GangState.WAITING: set(GangState),
     GangState.ASSIGNING: set(GangState),
     GangState.STARTING: {
@@ -54,23 +55,35 @@
 _STARTABLE = {GangState.STARTING, GangState.GATHERING, GangState.RUNNING}
 
 
+class MemberStop(NamedTuple):
+    """A member that has to leave its machine, and how many seconds it gets to checkpoint."""
+
+    member: TaskAttempt
+    grace_s: float
+
+
 class GangAttempt:
-    """The newest attempt of one gang, as its partition's owner knows it from records and reports."""
+    """The newest attempt of one gang, as its partition's owner knows it from records and heartbeats.
+
+    Attributes:
+        size: How many members the gang has.
+        checkpoint_grace_s: Seconds that members get to checkpoint when they are told to stop; 0: they never do.
+        attempt: The highest attempt number on record.
+        members: By task index, the members with a machine.
+    """
 
     def __init__(self, job: str, size: int, checkpoint_grace_s: float) -> None:
         self.job, self.size = job, size
-        self.checkpoint_grace_s = (
-            checkpoint_grace_s  # how long members get to save when they are told to leave; 0: they never save
-        )
+        self.checkpoint_grace_s = checkpoint_grace_s
         self.state = GangState.WAITING
-        self.attempt = 0  # the highest number on record
-        self.members: dict[int, TaskAttempt] = {}  # by index, those with a machine
+        self.attempt = 0
+        self.members: dict[int, TaskAttempt] = {}
         self._entries: dict[AllocationKey, list[TaskEntry]] = {}
 
-    # Records and reports coming in
+    # Records and heartbeats coming in
 
     def apply_record(self, allocation: AllocationKey, entries: list[TaskEntry] | None) -> None:
-        """Takes one allocation record in, or its removal."""
+        """Applies one allocation record, or its removal."""
         if entries is None:
             self._entries.pop(allocation, None)
         else:
@@ -78,12 +91,12 @@
             self.attempt = max([self.attempt, *(entry.attempt for entry in entries)])
 
     def update_state(self) -> None:
-        """Works the state out again after records or members have changed."""
+        """Derives the state again after records or members have changed."""
         state = self._observed()
         if state is self.state:
             return
-        if state not in _NEXT[self.state]:
-            return  # an older report of a member; the gang itself never goes back
+        if state not in _NEXT_STATES[self.state]:
+            return  # from an older message of a member; the gang itself never goes back
         log.debug("gang state changed job=%s attempt=%d state=%s", self.job, self.attempt, state.value)
         self.state = state
 
@@ -110,7 +123,7 @@
         return any(entry.state == records.ENDED for entry in self._all_entries())
 
     def _is_broken(self) -> bool:
-        """A member has left, is leaving, or was started under another number than the rest."""
+        """Whether a member has left, is leaving, or was started under another number than the rest."""
         if any(member.stop_requested or member.phase >= AttemptPhase.STOPPING for member in self.members.values()):
             return True
         if any(member.number != self.attempt for member in self.members.values()):
@@ -126,11 +139,11 @@
 
     @property
     def startable(self) -> bool:
-        """Members may be told to start: all of them are on record under one number."""
+        """Whether members may be told to start: all of them are on record under one number."""
         return self.state in _STARTABLE and len(self.members) == self.size
 
     def next_attempt(self) -> int | None:
-        """The number for members that are given machines now, or None while none may be."""
+        """The attempt number for members that are assigned now, or None while none may be."""
         if self.state is GangState.WAITING:
             return self.attempt + 1
         if self.state is GangState.ASSIGNING:
@@ -139,15 +152,20 @@
 
     def waiting(self) -> list[tuple[AllocationKey, TaskEntry]]:
         """Members without a machine."""
-        return [(w, e) for w, entries in self._entries.items() for e in entries if e.state == records.FREE]
+        return [
+            (allocation, entry)  # a typed pair takes four times as long, in every placement round
+            for allocation, entries in self._entries.items()
+            for entry in entries
+            if entry.state == records.FREE
+        ]
 
     @property
     def whole(self) -> bool:
-        """Every member is in this partition, with a machine or waiting for one."""
+        """Whether every member is in this partition, with a machine or waiting for one."""
         return len(self.members) + len(self.waiting()) >= self.size
 
     def to_stop(self) -> list[TaskAttempt]:
-        """Members that have to be told to leave because of what became of the others."""
+        """Members that have to be told to stop because of what became of the others."""
         staying = [m for m in self.members.values() if not m.stop_requested and m.phase < AttemptPhase.STOPPING]
         if self.state is GangState.STOPPING:
             return staying
@@ -157,15 +175,15 @@
         return []
 
     def grace_s(self) -> float:
-        """How long members get to save. All save or none does, so there is nothing to save once one has left."""
+        """Seconds that members get to checkpoint. All do or none: there is nothing to keep once one has left."""
         if any(member.phase >= AttemptPhase.EXITED for member in self.members.values()):
             return 0.0
-        asked = [member.grace_s for member in self.members.values() if member.stop_requested]
-        return min(asked, default=0.0)
+        requested = [member.grace_s for member in self.members.values() if member.stop_requested]
+        return min(requested, default=0.0)
 
 
 class Gangs:
-    """The gangs of one partition. What happened to their members is noted here and settled once for each event."""
+    """The gangs of one partition, and which of them changed since members to stop were last asked for."""
 
     def __init__(self) -> None:
         self._attempts: dict[str, GangAttempt] = {}
@@ -176,7 +194,7 @@
         return self._attempts.get(job)
 
     def track(self, job: str, size: int, checkpoint_grace_s: float = 0.0) -> GangAttempt:
-        """A gang, new or known; whoever asks is about to change it."""
+        """A gang, new or known, which counts as changed."""
         gang = self._attempts.get(job)
         if gang is None:
             gang = self._attempts[job] = GangAttempt(job, size, checkpoint_grace_s)
@@ -184,22 +202,22 @@
         return gang
 
     def mark_changed(self, job: str) -> None:
-        """Something happened to a task; if it is a gang's, the gang has to be settled."""
+        """A task of the job changed; if the job is a gang, its state is derived again."""
         if job in self._attempts:
             self._changed[job] = None
 
     def drop(self, job: str) -> None:
-        """The job is over or has left the partition."""
+        """The job has ended, was cancelled, or has left the partition."""
         self._attempts.pop(job, None)
         self._changed.pop(job, None)
 
-    def members_to_stop(self) -> list[tuple[TaskAttempt, float]]:
-        """Settles what has changed; returns members to be stopped, and how long each gets to save."""
-        out: list[tuple[TaskAttempt, float]] = []
+    def members_to_stop(self) -> list[MemberStop]:
+        """Derives the states of changed gangs; returns the members that have to stop because of that."""
+        out: list[MemberStop] = []
         while self._changed:
             gang = self._attempts[next(iter(self._changed))]
             del self._changed[gang.job]
             gang.update_state()
             grace_s = gang.grace_s()
-            out += [(member, grace_s) for member in gang.to_stop()]
+            out += [MemberStop(member, grace_s) for member in gang.to_stop()]
         return out
--- a/spurarch/coordination/partition/heartbeats.py
+++ b/spurarch/coordination/partition/heartbeats.py
@@ -50,18 +50,11 @@
         """
         state = self._state
         state.now = now
-        if heartbeat.machine in state.released_machines:
-            self._log_rejected(heartbeat, "machine was released")
-            return None
-        if heartbeat.fencing_token > state.lowest_token + state.highest_token_counter:
-            # A later owner has answered this worker, or the heartbeat makes no sense.
-            self._log_rejected(heartbeat, "fencing token is not ours")
-            return None
-        machine = self._machine(heartbeat)
-        if machine.state is MachineState.RELEASED or heartbeat.incarnation <= machine.expired_incarnation:
+        machine = self._accepted_machine(heartbeat)
+        if machine is None:
             return None
-        if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.heartbeat_seq):
-            return []  # something newer was seen, but the sender may still wait for an answer
+        if machine.has_seen(heartbeat):
+            return []  # a copy, or older than the newest; but the sender may still wait for an answer
         self._statuses.apply(machine, heartbeat, now)
         self._probe_acknowledgement(machine, now)
         if not commanding or machine.state is not MachineState.ACTIVE:
@@ -76,6 +69,21 @@
                 attempt.start_sent_seq = heartbeat.seq
         return commands
 
+    def _accepted_machine(self, heartbeat: wire.Heartbeat) -> Machine | None:
+        """The sender's machine, or None if it is released, its lease has expired, or it has a later owner."""
+        state = self._state
+        if heartbeat.machine in state.released_machines:
+            self._log_rejected(heartbeat, "machine was released")
+            return None
+        if heartbeat.fencing_token > state.lowest_token + state.highest_token_counter:
+            # A later owner has answered this worker, or the heartbeat makes no sense.
+            self._log_rejected(heartbeat, "fencing token is not ours")
+            return None
+        machine = self._machine(heartbeat)
+        if machine.state is MachineState.RELEASED or heartbeat.incarnation <= machine.expired_incarnation:
+            return None
+        return machine
+
     def _log_rejected(self, heartbeat: wire.Heartbeat, reason: str) -> None:
         if heartbeat.machine not in self._rejected_machines and len(self._rejected_machines) < REJECTED_MACHINES_KEPT:
             self._rejected_machines.add(heartbeat.machine)
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -1,9 +1,10 @@
-"""The life of a task on a machine, and of a machine, as the owner of a part sees them. No I/O.
+"""State machines of a task attempt and of a machine, as the partition's owner sees them. No I/O.
 
     ASSIGNED -> STARTING -> FETCHING -> (GATHERING ->) RUNNING -> (STOPPING ->) EXITED -> forgotten
         any of them -> GONE once it is proved that the machine no longer has the task
 
-`TaskAttempt.advance` makes every change of a task's phase and `Machine.advance` every change of a machine's.
+`TaskAttempt.transition` makes every change of an attempt's phase, `Machine.transition` every change of a machine's
+state.
 """
 
 from __future__ import annotations
@@ -14,24 +15,26 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey
 
-DRIFT = 1.001
+CLOCK_DRIFT = 1.001  # between the clocks of a worker and of its owner, as a factor
 LEASE_MARGIN_S = 0.5
 
+TaskKey = tuple[str, int]  # job and index; plain, since every heartbeat makes and compares one for each of its tasks
+
 
 class AttemptPhase(enum.IntEnum):
-    """Where a task stands on its machine."""
+    """How far an attempt is on its machine."""
 
-    ASSIGNED = 0  # recorded; no command has been sent by this process
+    ASSIGNED = 0  # on record; this process has sent no command
     STARTING = 1  # a start command was sent
     FETCHING = 2
-    GATHERING = 3  # a gang's task that waits for the others of its attempt
+    GATHERING = 3  # a member of a gang that waits for the others of its attempt
     RUNNING = 4
     STOPPING = 5
-    EXITED = 6  # reported as ended; the end is not recorded yet
-    GONE = 7  # proved to be off its machine; that is not recorded yet
+    EXITED = 6  # the worker reported its end, which is not on record yet
+    GONE = 7  # proved to be off its machine, which is not on record yet
 
 
-_SEEN = {
+_AFTER_START = {
     AttemptPhase.FETCHING,
     AttemptPhase.GATHERING,
     AttemptPhase.RUNNING,
@@ -39,9 +42,9 @@
     AttemptPhase.EXITED,
     AttemptPhase.GONE,
 }
-_NEXT = {
-    AttemptPhase.ASSIGNED: {AttemptPhase.STARTING} | _SEEN,
-    AttemptPhase.STARTING: _SEEN,
+_NEXT_PHASES = {
+    AttemptPhase.ASSIGNED: {AttemptPhase.STARTING} | _AFTER_START,
+    AttemptPhase.STARTING: _AFTER_START,
     AttemptPhase.FETCHING: {
         AttemptPhase.GATHERING,
         AttemptPhase.RUNNING,
@@ -59,7 +62,18 @@
 
 @dataclass(slots=True)
 class TaskAttempt:
-    """A task that the records assign to a machine."""
+    """One attempt of a task, which the records assign to a machine.
+
+    Attributes:
+        incarnation: The worker's incarnation that it was assigned to.
+        exit_reason: Why it ended, as the worker says; set in phase EXITED.
+        stop_requested: It has to leave its machine.
+        grace_s: How long it gets to checkpoint when it is told to stop.
+        stop_acknowledged_at: When the worker confirmed that it was told to stop.
+        start_sent_seq: The start reached the worker no later than its message with this number.
+        terminated_at: When its end or absence was proved.
+        job_cancelled_at: When its job was cancelled, as far as is known.
+    """
 
     allocation: AllocationKey
     index: int
@@ -69,39 +83,39 @@
     assigned_at: float
     phase: AttemptPhase = AttemptPhase.ASSIGNED
     exit_reason: str | None = None
-    stop_requested: bool = False  # it has to leave its machine
+    stop_requested: bool = False
     grace_s: float = 0.0
-    stop_acknowledged_at: float | None = None  # when the worker confirmed that it was told to save and leave
-    start_sent_seq: int = -1  # the start was handed to the worker no later than its message with this number
+    stop_acknowledged_at: float | None = None
+    start_sent_seq: int = -1
     running_at: float | None = None
-    terminated_at: float = 0.0  # when its end was proved
-    job_cancelled_at: float | None = None  # its job was cancelled then, so far as is known
+    terminated_at: float = 0.0
+    job_cancelled_at: float | None = None
 
     @property
-    def key(self) -> tuple[str, int]:
-        """Job and index."""
+    def key(self) -> TaskKey:
+        """Job and index of its task."""
         return self.allocation.job, self.index
 
-    def transition(self, phase: AttemptPhase, why: str | None = None) -> bool:
-        """Changes the phase if that is a step a task can take; anything else is old news."""
-        if phase not in _NEXT[self.phase]:
+    def transition(self, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
+        """Changes the phase if that is a step an attempt can take; anything else is from an older message."""
+        if phase not in _NEXT_PHASES[self.phase]:
             return False
         self.phase = phase
         if phase is AttemptPhase.EXITED:
-            self.exit_reason = why
+            self.exit_reason = exit_reason
         return True
 
 
 class MachineState(enum.Enum):
-    """Where a machine stands."""
+    """What is known of a machine."""
 
-    UNCONFIRMED = "unknown"  # on record, or reporting, but it has not yet shown a token of ours
+    UNCONFIRMED = "unknown"  # on record, or sending heartbeats, but it has not yet shown a fencing token of ours
     ACTIVE = "known"
-    LEASE_EXPIRED = "lost"  # silent for so long that its worker's lease has certainly run out
-    RELEASED = "gone"  # the cloud confirmed its return
+    LEASE_EXPIRED = "lost"  # silent for so long that its worker's lease has certainly expired
+    RELEASED = "gone"  # the cloud confirmed its release
 
 
-_MACHINE_NEXT = {
+_NEXT_STATES = {
     MachineState.UNCONFIRMED: {MachineState.ACTIVE, MachineState.RELEASED},
     MachineState.ACTIVE: {MachineState.LEASE_EXPIRED, MachineState.RELEASED},
     MachineState.LEASE_EXPIRED: {MachineState.ACTIVE, MachineState.RELEASED},
@@ -111,7 +125,37 @@
 
 @dataclass(slots=True)
 class Machine:
-    """A machine of a part."""
+    """A machine of a partition.
+
+    Attributes:
+        schedulable: On record as taking new tasks.
+        incarnation: The newest of its worker that was seen.
+        heartbeat_seq: Number of its newest message in that incarnation.
+        expired_incarnation: The newest incarnation whose lease expired.
+        token_counter: Low part of the fencing token that it is given now.
+        first_token_counter: The first that it was given; no answer carried one as high before.
+        acknowledged_counter: The highest that it has shown.
+        token_offered_at: When it was first answered with `token_counter`, unless it has shown that since.
+        acknowledged_at: When it last showed what only an answer of ours could have told it.
+        responses_lost: Its heartbeats arrive, but it shows nothing of our answers.
+        fence_token: Commands with fencing tokens below this may still arrive, unless the worker has seen it.
+        highest_token_seen: The highest fencing token that it has shown.
+        commands_in_flight: Direct commands without an answer yet.
+        last_heartbeat_at: When its newest message was received.
+        termination_notice_until: When the cloud takes it away, if it announced that.
+        to_forget: Ended tasks that the worker need not list any more, with their attempts.
+        unarchived: Of `to_forget`, revisions of the records that say so and have to be archived first.
+        cached_images: Images of tasks that have run here.
+        cancelled_task_since: Its lease expired with a task that was cancelled then; it may hang with it still.
+        task_failures: Failures that were attributed to it.
+        quarantined_until: It is given no tasks until then, since tasks failed here.
+        backoff_until: It refused a task; too short a while to go on record.
+        releasing: Its release is under way.
+        draining: Consolidation lets its tasks end or move, and sends it no new ones.
+        release_after: When its release may be tried again.
+        next_command_at: When direct commands may be sent to it again.
+        last_task_statuses: What its newest message listed, unless tasks were assigned since.
+    """
 
     name: str
     zone: str
@@ -119,49 +163,48 @@
     spot: bool
     addr: str
     first_seen: float
-    schedulable: bool = True  # takes new tasks
+    schedulable: bool = True
     state: MachineState = MachineState.UNCONFIRMED
     incarnation: int = 0
     heartbeat_seq: int = -1
     expired_incarnation: int = -1
-    token_counter: int = 1  # low part of the token that this machine is given
-    first_token_counter: int = 1  # the first of them that it was given: no answer ever carried one as high before
-    acknowledged_counter: int = 0  # the highest of them that it has shown
-    token_offered_at: float | None = None  # when it was first answered with `counter`, if it has not shown that yet
-    token_offered_seq: tuple[int, int] = (0, 0)  # its newest message then
-    acknowledged_at: float | None = None  # it last showed what only an answer of ours could have told it
-    responses_lost: bool = False  # its reports arrive, but it shows nothing of our answers
-    fence_token: int = 0  # commands with tokens below this may still arrive late unless the worker has seen it
+    token_counter: int = 1
+    first_token_counter: int = 1
+    acknowledged_counter: int = 0
+    token_offered_at: float | None = None
+    acknowledged_at: float | None = None
+    responses_lost: bool = False
+    fence_token: int = 0
     highest_token_seen: int = 0
-    commands_in_flight: int = 0  # direct commands without an answer yet
-    last_heartbeat_at: float | None = None  # receipt of its newest message
+    commands_in_flight: int = 0
+    last_heartbeat_at: float | None = None
     termination_notice_until: float | None = None
-    attempts: dict[tuple[str, int], TaskAttempt] = field(default_factory=dict)
-    to_forget: dict[tuple[str, int], int] = field(default_factory=dict)
-    unarchived: dict[tuple[str, int], int] = field(default_factory=dict)  # of `forget`, revisions of the records
-    cached_images: set[int] = field(default_factory=set)  # seen in use here: a task with this image has run
+    attempts: dict[TaskKey, TaskAttempt] = field(default_factory=dict)
+    to_forget: dict[TaskKey, int] = field(default_factory=dict)
+    unarchived: dict[TaskKey, int] = field(default_factory=dict)
+    cached_images: set[int] = field(default_factory=set)
     idle_since: float | None = None
-    cancelled_task_since: float | None = (
-        None  # it fell silent with a task that was cancelled then, and may hang with it still
-    )
+    cancelled_task_since: float | None = None
     task_failures: int = 0
     quarantined_until: float = 0.0
-    backoff_until: float = 0.0  # it refused a task; too short a while to go on record
+    backoff_until: float = 0.0
     releasing: bool = False
-    draining: bool = False  # consolidation lets its tasks end or move, and sends it no new ones
+    draining: bool = False
     release_after: float = 0.0
     next_command_at: float = 0.0
-    last_task_statuses: list[wire.TaskStatus] | None = (
-        None  # what the newest report showed, unless tasks were assigned since
-    )
+    last_task_statuses: list[wire.TaskStatus] | None = None
 
     def transition(self, state: MachineState) -> bool:
-        """Changes the standing if that is a step a machine can take."""
-        if state not in _MACHINE_NEXT[self.state]:
+        """Changes the state if that is a step a machine can take."""
+        if state not in _NEXT_STATES[self.state]:
             return False
         self.state = state
         return True
 
+    def has_seen(self, heartbeat: wire.Heartbeat) -> bool:
+        """Whether this message of its worker, or a newer one, was applied before."""
+        return (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.heartbeat_seq)
+
     def acknowledge(self, fencing_token: int, counter: int, now: float) -> None:
         """The worker showed a fencing token; one that is higher than those before proves that our answers arrive."""
         self.highest_token_seen = max(self.highest_token_seen, fencing_token)
@@ -173,7 +216,7 @@
                 self.responses_lost = False
 
     def overdue_since(self) -> float | None:
-        """Since when a cancelled task may be on the machine without having shown that it left; None if there is none."""
+        """Since when a cancelled task may be on the machine, which has not shown that it left; None if none may."""
         times = [
             attempt.job_cancelled_at
             for attempt in self.attempts.values()
@@ -185,15 +228,15 @@
 
     @property
     def fenced(self) -> bool:
-        """No command that went unanswered can act any more."""
+        """No command without an answer can act any more."""
         return self.commands_in_flight == 0 and self.highest_token_seen >= self.fence_token
 
     def is_schedulable(self, now: float) -> bool:
-        """May take new tasks: it is willing, and on record as that."""
+        """May be given new tasks: it can accept them, and is on record as schedulable."""
         return self.schedulable and now >= self.backoff_until and self.can_accept_tasks(now)
 
     def can_accept_tasks(self, now: float) -> bool:
-        """Nothing speaks against new tasks."""
+        """Whether nothing known here speaks against new tasks."""
         return (
             self.state is MachineState.ACTIVE
             and not self.releasing
@@ -204,16 +247,16 @@
         )
 
     def lease_expired(self, now: float, lease_s: float) -> bool:
-        """The worker's lease has run out for certain.
+        """Whether the worker's lease has expired for certain.
 
-        Only we can renew it: it has shown our token, and drops whatever carries a lower one. A renewal counts from the
-        sending of a report, and every report that it has sent so far was sent before we received its newest message.
-        Late copies of older ones therefore renew nothing, though they are answered, and don't count.
+        Only this owner can renew it: the worker has shown our fencing token, and drops whatever carries a lower one. A
+        renewal counts from the sending of a heartbeat, and every heartbeat that it has sent so far was sent before we
+        received its newest message. Late copies of older ones therefore renew nothing, though they are answered.
         """
         return (
             self.state is MachineState.ACTIVE
             and self.last_heartbeat_at is not None
-            and now - self.last_heartbeat_at > lease_s * DRIFT + LEASE_MARGIN_S
+            and now - self.last_heartbeat_at > lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         )
 
 
@@ -227,5 +270,5 @@
 
 
 def observed_phase(task: wire.TaskStatus) -> AttemptPhase | None:
-    """The phase that a report shows, or None for a state that this version does not know."""
+    """The phase that a worker's message shows, or None for a state that this version does not know."""
     return _OBSERVED.get(task.state)
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -140,11 +140,11 @@
 
     def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
         """By zone, how many workers sent heartbeats here of late though another controller owns their zone."""
-        for zone, heard in self._unregistered_machines.items():
+        for zone, machines in self._unregistered_machines.items():
             self._unregistered_machines[zone] = {
-                name: at for name, at in heard.items() if now - at < UNREGISTERED_KEPT_S
+                name: at for name, at in machines.items() if now - at < UNREGISTERED_KEPT_S
             }
-        return [(zone, len(heard)) for zone, heard in self._unregistered_machines.items() if heard]
+        return [(zone, len(machines)) for zone, machines in self._unregistered_machines.items() if machines]
 
     def _owned_partition(self, zone: str, now: float) -> OwnedPartition:
         """The partition in memory, which begins anew with every epoch."""
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -47,10 +47,10 @@
             elif key.startswith(records.JOB):
                 job_id = key[len(records.JOB) :]
                 if not is_live(cluster, job_id):
-                    self._on_job_over(job_id)
+                    self._on_job_finished(job_id)
         self._stops.stop_gang_members()
 
-    def _on_job_over(self, job_id: str) -> None:
+    def _on_job_finished(self, job_id: str) -> None:
         """The job ended or was cancelled: its tasks leave, and its allocations can be deleted."""
         state = self._state
         self._failures.backoffs.pop(job_id, None)
@@ -127,11 +127,11 @@
             machine = state.add_machine(entry.machine, "", False, "", schedulable=False)
         attempt = TaskAttempt(allocation, entry.index, entry.attempt, entry.machine, entry.incarnation, state.now)
         state.add_attempt(attempt, machine)
-        # The incarnation it is recorded for may be over, and with it all that ran there.
-        incarnation_over = attempt.incarnation < machine.incarnation or (
+        # The incarnation it is recorded for may have ended, and with it all that ran there.
+        incarnation_ended = attempt.incarnation < machine.incarnation or (
             machine.state is MachineState.LEASE_EXPIRED and attempt.incarnation <= machine.expired_incarnation
         )
-        if incarnation_over or machine.state is MachineState.RELEASED:
+        if incarnation_ended or machine.state is MachineState.RELEASED:
             state.transition(attempt, AttemptPhase.GONE)
         if not live:
             self._stops.stop_cancelled(attempt)
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from spurarch.coordination.partition.gang import Gangs
-from spurarch.coordination.partition.machine import AttemptPhase, Machine, TaskAttempt
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, TaskAttempt, TaskKey
 from spurarch.coordination.runtime.invariants import InvariantViolations
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey, TaskEntry
@@ -72,7 +72,7 @@
         self.records_read = False  # the partition's records have been read since it was claimed
         self.scheduling_triggers = 0  # machines that became active and tasks that left: capacity may be free
         self.machines: dict[str, Machine] = {}
-        self.attempts: dict[tuple[str, int], TaskAttempt] = {}
+        self.attempts: dict[TaskKey, TaskAttempt] = {}
         self.attempts_by_allocation: dict[AllocationKey, dict[int, TaskAttempt]] = {}
         self.allocations_by_job: dict[str, set[AllocationKey]] = defaultdict(set)
         self.unassigned: dict[AllocationKey, list[TaskEntry]] = {}
--- a/spurarch/coordination/partition/statuses.py
+++ b/spurarch/coordination/partition/statuses.py
@@ -40,7 +40,7 @@
         back, or make a new owner believe that a silent one lives.
         """
         state = self._state
-        if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.heartbeat_seq):
+        if machine.has_seen(heartbeat):
             return
         lowest_token = state.lowest_token
         if (
--- a/spurarch/coordination/scaling/scale_in_candidates.py
+++ b/spurarch/coordination/scaling/scale_in_candidates.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from spurarch.coordination.fleet.fleet_view import FleetView
-from spurarch.coordination.partition.failures import FAULTS_BEFORE_PAUSE
+from spurarch.coordination.partition.failures import FAILURES_BEFORE_QUARANTINE
 from spurarch.coordination.partition.machine import Machine, MachineState
 from spurarch.coordination.partition.partition import Partition
 from spurarch.settings import Tuning, Workers
@@ -169,7 +169,7 @@
             or machine.releasing
         ):
             continue
-        if machine.draining or machine.task_failures >= FAULTS_BEFORE_PAUSE:
+        if machine.draining or machine.task_failures >= FAILURES_BEFORE_QUARANTINE:
             # A closed machine is no room for anyone: kept, it would only cost. A faulty one is replaced.
             out.append(machine)
             continue
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -27,9 +27,9 @@
     """Takes a task that is told to stop for one that has left."""
     stop_one = StopRequests._request_one
 
-    def stop_and_drop(stops: StopRequests, run: Any, grace_s: float) -> None:
-        stop_one(stops, run, grace_s)
-        stops._state.transition(run, AttemptPhase.GONE)
+    def stop_and_drop(stops: StopRequests, attempt: Any, grace_s: float) -> None:
+        stop_one(stops, attempt, grace_s)
+        stops._state.transition(attempt, AttemptPhase.GONE)
 
     StopRequests._request_one = stop_and_drop  # type: ignore[assignment, method-assign]
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -118,7 +118,7 @@
         states.append(gang.state)
     assert states == [GangState.RUNNING, GangState.STOPPING]
     assert [attempt.index for attempt in gang.to_stop()] == [0, 2]
-    assert gang.grace_s() == 0.0  # there is nothing to save any more
+    assert gang.grace_s() == 0.0  # there is nothing to checkpoint any more
     assert not gang.startable
 
 
@@ -144,7 +144,7 @@
     ]  # its absence has to be shown, since it may never come back
 
 
-def test_members_are_stopped_with_the_same_time_to_save() -> None:
+def test_members_are_stopped_with_the_same_time_to_checkpoint() -> None:
     gangs = Gangs()
     gang = gangs.track("job-1", 3, 4.0)
     gang.apply_record(WHERE, [assigned(i) for i in range(3)])
@@ -157,39 +157,39 @@
     assert gangs.members_to_stop() == []
 
 
-def part_with(job: JobRecord, entries: list[TaskEntry]) -> tuple[Partition, ClusterState]:
+def partition_with(job: JobRecord, entries: list[TaskEntry]) -> tuple[Partition, ClusterState]:
     state = ClusterState()
     state.put(records.JOB + "job-1", 1, job)
     state.put(str(WHERE), 2, AllocationRecord(entries))
-    part = Partition("a", 1, 10.0, 0.0, PartitionContext(lambda job_id: None))
-    part.apply_records(state, list(state.entries), 0.0)
-    part.state.records_read = True
-    return part, state
+    partition = Partition("a", 1, 10.0, 0.0, PartitionContext(lambda job_id: None))
+    partition.apply_records(state, list(state.entries), 0.0)
+    partition.state.records_read = True
+    return partition, state
 
 
 def test_no_command_starts_part_of_a_gang() -> None:
-    part, state = part_with(JobRecord(submission(2), 0.0), [assigned(0), free(1)])
-    machine = part.machines["vm-0"]
+    partition, state = partition_with(JobRecord(submission(2), 0.0), [assigned(0), free(1)])
+    machine = partition.machines["vm-0"]
     machine.incarnation = 1
-    assert part.commands.plan(machine, None) == []
+    assert partition.commands.plan(machine, None) == []
     state.put(str(WHERE), 3, AllocationRecord([assigned(0), assigned(1)]))
-    part.apply_records(state, [str(WHERE)], 1.0)
-    assert [(c.op, c.task, c.attempt) for c in part.commands.plan(machine, None)] == [(wire.START, "job-1/0", 1)]
+    partition.apply_records(state, [str(WHERE)], 1.0)
+    assert [(c.op, c.task, c.attempt) for c in partition.commands.plan(machine, None)] == [(wire.START, "job-1/0", 1)]
 
 
 def test_a_split_record_keeps_what_is_known_of_its_tasks() -> None:
     """Forgetting an end that is not recorded yet would have the worker forget it too, and run the task once more."""
     job = JobRecord(submission(4), 0.0)
     job.spec.kind = wire.BATCH
-    part, state = part_with(job, [assigned(i) for i in range(4)])
-    part.state.transition(part.attempts["job-1", 3], AttemptPhase.EXITED, wire.REASON_DONE)
+    partition, state = partition_with(job, [assigned(i) for i in range(4)])
+    partition.state.transition(partition.attempts["job-1", 3], AttemptPhase.EXITED, wire.REASON_DONE)
     pieces = records.split(WHERE, AllocationRecord([assigned(i) for i in range(4)]), 2)
     state.apply_commit([Write(str(allocation), piece) for allocation, piece in pieces], 9)
-    part.apply_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
-    attempt = part.attempts["job-1", 3]
+    partition.apply_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
+    attempt = partition.attempts["job-1", 3]
     assert (attempt.phase, attempt.allocation) == (AttemptPhase.EXITED, pieces[1][0])
-    assert part.machines["vm-3"].to_forget == {}
-    assert TerminalRecords(part.state).entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
+    assert partition.machines["vm-3"].to_forget == {}
+    assert TerminalRecords(partition.state).entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
 
 def test_gang_members_are_given_machines_together_or_not_at_all() -> None:
@@ -201,15 +201,15 @@
     assert merge_changes(AllocationRecord([free(0, 2), TaskEntry(1, records.RETURNED, 4)]), changes, gang=True) is None
 
 
-def test_an_unknown_task_state_teaches_nothing_and_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    part, _ = part_with(JobRecord(submission(1), 0.0), [assigned(0)])
+def test_an_unknown_task_state_is_ignored_and_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    partition, _ = partition_with(JobRecord(submission(1), 0.0), [assigned(0)])
     task = wire.TaskStatus("job-1/0", 1, "dreaming")
     with caplog.at_level(logging.WARNING):
         for seq in (1, 2, 3):
-            token = part.state.fencing_token(part.machines["vm-0"])
+            token = partition.state.fencing_token(partition.machines["vm-0"])
             heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "small", "a", 1, seq, token, [task])
-            part.on_heartbeat(heartbeat, float(seq))
-    assert part.attempts["job-1", 0].phase is AttemptPhase.STARTING
+            partition.on_heartbeat(heartbeat, float(seq))
+    assert partition.attempts["job-1", 0].phase is AttemptPhase.STARTING
     assert [r.getMessage() for r in caplog.records].count("unknown task state reported state='dreaming'") == 1
 
 
