--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -35,7 +35,7 @@
 RECORD_MARGIN_BYTES = 64  # the state service may count a little more than we send
 
 
-def error(status: int, message: str, retry_s: int = RETRY_S) -> Response:
+def refusal(status: int, message: str, retry_s: int = RETRY_S) -> Response:
     """An error as JSON; one that passes says when to come back."""
     headers = [("Retry-After", str(retry_s))] if status in (429, 503) else []
     return Response(status, wire.encode(wire.ErrorBody(message)), headers)
@@ -75,26 +75,26 @@
         try:
             spec = wire.submission_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as err:
-            return error(400, str(err))
+            return refusal(400, str(err))
         if not wire.JOB_ID_PATTERN.fullmatch(spec.id):
-            return error(400, "ref: not a job id")
+            return refusal(400, "ref: not a job id")
         if not _finite(spec):
-            return error(400, "an amount is out of range")
+            return refusal(400, "an amount is out of range")
         wait_s = self._pending / self.replica.store.write_rate
         if wait_s > MOST_WAIT_S:
             # The line in front of the state service is longer than users wait: better to come back when it is short.
-            return error(503, "too many submissions at once", math.ceil(wait_s))
+            return refusal(503, "too many submissions at once", math.ceil(wait_s))
         self._pending += 1
         try:
             return await self._accept(spec)
         except StoreUnavailableError:
-            return error(503, "the state service can't be reached")
+            return refusal(503, "the state service can't be reached")
         finally:
             self._pending -= 1
 
     async def _accept(self, spec: wire.Submission) -> Response:
         if not self.replica.loaded:
-            return error(503, "starting")
+            return refusal(503, "starting")
         state = self.replica.state
         history = self.replica.store.history
         if spec.id in state.jobs or spec.id in state.finals or (history is not None and history.record.packed):
@@ -103,15 +103,15 @@
             if known is not None:
                 return known
         if spec.id in state.jobs or spec.id in state.finals:
-            return await self._known_state(spec.id) or error(503, "the state service can't be reached")
-        refusal = self._validate_feasible(spec)
-        if refusal is not None:
+            return await self._known_state(spec.id) or refusal(503, "the state service can't be reached")
+        infeasible = self._validate_feasible(spec)
+        if infeasible is not None:
             # A job that was accepted once is never refused, whatever has changed since.
-            return await self._known_state(spec.id) or refusal
+            return await self._known_state(spec.id) or infeasible
         guards: list[str] = []
         if spec.kind == wire.GANG:
             if not gangs_supported(state.members):
-                return error(503, "gangs are taken once all controllers have been upgraded", UPGRADE_RETRY_S)
+                return refusal(503, "gangs are taken once all controllers have been upgraded", UPGRADE_RETRY_S)
             # A controller of an earlier version may join between this check and the transaction.
             guards = [records.MEMBER + node for node in self._nodes]
         result = await self.replica.commit(
@@ -125,25 +125,25 @@
             await self._notify_peers()
             return await self._once_archived(result.revision, _state(201, spec.id, wire.QUEUED))
         if result.status is TransactionStatus.CONFLICT:
-            return await self._known_state(spec.id) or error(503, "not settled yet")
-        return error(503, "the state service can't be reached")
+            return await self._known_state(spec.id) or refusal(503, "not settled yet")
+        return refusal(503, "the state service can't be reached")
 
     def _validate_feasible(self, spec: wire.Submission) -> Response | None:
         """Why the job can never run, or 503 while nobody can tell."""
         team = self._teams.get(spec.team)
         if team is None:
-            return error(422, "crew: unknown team")
+            return refusal(422, "crew: unknown team")
         count = 1 if spec.kind == wire.BATCH else spec.tasks
         if 0 < team.quota_cpus < spec.cpus * count - 1e-6 or 0 < team.quota_gpus < spec.gpus * count - 1e-6:
-            return error(422, "the job needs more than its team's limit")
+            return refusal(422, "the job needs more than its team's limit")
         if spec.kind == wire.GANG and spec.spread and spec.tasks > 1:
-            return error(422, "spread: the tasks of a gang are in one zone")
+            return refusal(422, "spread: the tasks of a gang are in one zone")
         if spec.zone is not None and spec.zone not in self._zones:
-            return error(422, "district: unknown zone")
+            return refusal(422, "district: unknown zone")
         if len(wire.encode(JobRecord(spec, time.time(), True, time.time()))) > self._record_bytes:
-            return error(422, "the job's description is larger than a record may be")
+            return refusal(422, "the job's description is larger than a record may be")
         if not self.view.machine_types:
-            return error(503, "machine types are not known yet")
+            return refusal(503, "machine types are not known yet")
         for offer in self.view.machine_types.values():
             if spec.types is not None and offer.name not in spec.types:
                 continue
@@ -151,21 +151,21 @@
                 continue
             if spec.cpus <= offer.cpus and spec.gpus <= offer.gpus and spec.memory_gb <= offer.memory_gb:
                 return None
-        return error(422, "a task fits no allowed machine type")
+        return refusal(422, "a task fits no allowed machine type")
 
     async def get(self, job_id: str) -> Response:
         """GET of a job."""
         if not wire.JOB_ID_PATTERN.fullmatch(job_id):
-            return error(404, "no such job")
+            return refusal(404, "no such job")
         try:
             return await self._known_state(job_id) or self._not_found()
         except StoreUnavailableError:
-            return error(503, "the state service can't be reached")
+            return refusal(503, "the state service can't be reached")
 
     async def cancel(self, job_id: str) -> Response:
         """POST of a cancellation."""
         if not wire.JOB_ID_PATTERN.fullmatch(job_id):
-            return error(404, "no such job")
+            return refusal(404, "no such job")
         try:
             for _ in range(4):
                 known = await self._known_state(job_id)
@@ -184,16 +184,16 @@
                     return await self._once_archived(result.revision, _state(200, job_id, wire.CANCELLED))
                 if result.status is not TransactionStatus.CONFLICT:
                     break
-            return error(503, "not settled yet")
+            return refusal(503, "not settled yet")
         except StoreUnavailableError:
-            return error(503, "the state service can't be reached")
+            return refusal(503, "the state service can't be reached")
 
     def _not_found(self) -> Response:
         """There is no record of the job; that it was never accepted can't be told while records may be missing."""
         history = self.replica.store.history
         if history is not None and history.record.uncertain:
-            return error(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
-        return error(404, "no such job")
+            return refusal(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
+        return refusal(404, "no such job")
 
     async def _known_state(self, job_id: str) -> Response | None:
         """The job's state, no older than anything that was told elsewhere before; None if it was never accepted."""
@@ -209,7 +209,7 @@
         if final is None:
             return None
         if final.state == records.UNRESOLVED:
-            return error(503, "in doubt since the records were rebuilt", UNRESOLVED_RETRY_S)
+            return refusal(503, "in doubt since the records were rebuilt", UNRESOLVED_RETRY_S)
         done = final.tasks if final.state == wire.DONE else None
         response = _state(200, job_id, final.state, done, 0 if done is not None else None)
         return await self._once_archived(None, response, job_id)
@@ -227,7 +227,7 @@
         revision = history.recorded if revision is None else revision
         while history.archived < revision:
             if time.monotonic() > deadline:
-                return error(503, "recorded, and not archived yet")
+                return refusal(503, "recorded, and not archived yet")
             await curio.sleep(ARCHIVE_LOOK_S)
         if final_job is not None:
             self._archived[final_job] = None
--- /dev/null
+++ b/spurarch/coordination/membership/freshness.py
@@ -0,0 +1,53 @@
+"""Keeps what this controller knows fresh: by reads of the state service, and by pings to the peers while those fail."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Mapping
+
+import curio
+
+from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.protocol import peer_messages
+from spurarch.storage.replica import Replica
+from spurarch.transport.network import Calls
+
+CHECK_INTERVAL_S = 0.5
+PING_INTERVAL_S = 1.0
+PING_TIMEOUT_S = 2.0
+FRESH_FOR_S = 0.8  # a younger copy need not be read anew; also the timeout of a read
+CUT_OFF_AFTER_S = 1.5
+
+
+class FreshnessMonitor:
+    """Reads the state service at least every second, and asks the peers while it can't be read."""
+
+    def __init__(
+        self, node: str, replica: Replica, reachability: StoreReachability, clients: Mapping[str, Calls]
+    ) -> None:
+        self._node, self._replica, self._reachability, self._clients = node, replica, reachability, clients
+
+    async def run(self) -> None:
+        """Checks the copy's age until cancelled."""
+        while True:
+            await self._check()
+            await curio.sleep(CHECK_INTERVAL_S)
+
+    async def _check(self) -> None:
+        replica = self._replica
+        if time.monotonic() - replica.synced_at <= FRESH_FOR_S or await replica.sync(FRESH_FOR_S):
+            self._reachability.discard_confirmed(replica.synced_at)
+        elif time.monotonic() - replica.synced_at > CUT_OFF_AFTER_S:
+            frame = peer_messages.encode(peer_messages.Ping(self._node))
+            for node, client in self._clients.items():
+                await curio.spawn(self._ping, node, client, frame, daemon=True)
+            await curio.sleep(PING_INTERVAL_S - CHECK_INTERVAL_S)
+
+    async def _ping(self, node: str, client: Calls, frame: bytes) -> None:
+        sent_at = time.monotonic()
+        answer = await client.call(frame, PING_TIMEOUT_S)
+        message = peer_messages.decode(answer) if answer is not None else None
+        if isinstance(message, peer_messages.Pong):
+            received_at = time.monotonic()
+            self._reachability.on_pong(node, sent_at, received_at, message, self._replica.synced_at)
+            await self._replica.notify()
--- /dev/null
+++ b/spurarch/coordination/rate_sharing.py
@@ -0,0 +1,136 @@
+"""Shares of the published rates of the state service and the cloud, agreed among the controllers without a coordinator.
+
+Each controller computes the same shares from the records: by who owns which partition and who leads. Unused writes are
+lent to peers with more to do, by the loads that all tell each other.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import NamedTuple
+
+import curio
+
+from spurarch.coordination.partition.owner import PartitionOwner
+from spurarch.protocol import peer_messages
+from spurarch.protocol.peer_messages import Load
+from spurarch.settings import StateLimits
+from spurarch.storage.cloud import Cloud
+from spurarch.storage.rate_limits import borrowed_share
+from spurarch.storage.replica import Replica
+from spurarch.transport.network import Calls, broadcast
+
+SHARING_INTERVAL_S, SHORTEST_INTERVAL_S = 1.0, 0.2
+LOAD_VALID_S = 3 * SHARING_INTERVAL_S
+LEADER_CLOUD_SHARE = 0.6  # the leader scales out and lists machines; the others only release machines
+
+
+class RateShares(NamedTuple):
+    """A controller's shares of the state service's rates, each between 0 and 1."""
+
+    requests: float
+    writes: float
+
+
+def rate_shares(nodes: list[str], owners: list[str], leader: str | None) -> dict[str, RateShares]:
+    """The controllers' shares, by what each has to do; `owners` has an entry for each partition.
+
+    Everybody serves users; owners record starts and ends, and the leader admits. The shares of all add up to one as
+    long as they agree on who does what.
+    """
+    weights: dict[str, RateShares] = {}
+    for node in nodes:
+        partitions, leads = owners.count(node), node == leader
+        weights[node] = RateShares(2.0 + partitions + leads, 2.0 + 4.0 * partitions + 6.0 * leads)
+    requests = sum(weight.requests for weight in weights.values())
+    writes = sum(weight.writes for weight in weights.values())
+    return {node: RateShares(weight.requests / requests, weight.writes / writes) for node, weight in weights.items()}
+
+
+@dataclass(frozen=True, slots=True)
+class _ReceivedLoad:
+    """A peer's latest load, and when it came, by the monotonic clock."""
+
+    load: Load
+    received_at: float
+
+
+class RateSharing:
+    """Keeps this controller's shares up to date, and tells the peers its load."""
+
+    def __init__(
+        self,
+        node: str,
+        clients: Mapping[str, Calls],
+        replica: Replica,
+        cloud: Cloud,
+        owner: PartitionOwner,
+        limits: StateLimits,
+    ) -> None:
+        self._node, self._clients, self._limits = node, clients, limits
+        self._replica, self._store, self._cloud, self._owner = replica, replica.store, cloud, owner
+        self._peer_loads: dict[str, _ReceivedLoad] = {}
+
+    def on_peer_load(self, load: Load, now: float) -> None:
+        """A peer told its load."""
+        self._detect_peer_throttling(load)
+        self._peer_loads[load.node] = _ReceivedLoad(load, now)
+        self._owner.scale_in.on_peer_load(load.node, dict(load.unregistered_machines), load.released_machines)
+
+    def _detect_peer_throttling(self, load: Load) -> None:
+        """The state service has lowered its rate if a peer's writes are refused; only where that was announced."""
+        before = self._peer_loads.get(load.node)
+        announced = self._limits.next is not None
+        if announced and before is not None and load.throttled_writes > before.load.throttled_writes:
+            self._store.record_peer_throttled()
+
+    async def run(self) -> None:
+        """Applies new shares every second, and at once when a worker can't find its partition's owner."""
+        found = self._owner.unregistered_machine_found
+        while True:
+            await self._share()
+            await curio.sleep(SHORTEST_INTERVAL_S)
+            await curio.ignore_after(SHARING_INTERVAL_S - SHORTEST_INTERVAL_S, found.wait)
+            found.clear()
+
+    async def _share(self) -> None:
+        """Takes the shares that this controller's duties ask for and what others lend, and tells the peers its load."""
+        leader = self._replica.state.leader
+        leader_node = leader.node if leader is not None else None
+        nodes = [self._node, *self._clients]
+        owners = [partition.node for partition in self._replica.state.partitions.values()]
+        shares = rate_shares(nodes, owners, leader_node)
+        now = time.monotonic()
+        loads = {
+            node: received.load
+            for node, received in self._peer_loads.items()
+            if now - received.received_at < LOAD_VALID_S
+        }
+        own_load = self._own_load(now)
+        self._owner.scale_in.unregistered_by_peer = {
+            node: dict(load.unregistered_machines) for node, load in loads.items()
+        }
+        loads[self._node] = own_load
+        self._store.set_shares(shares[self._node].requests, self._write_share(shares, loads))
+        others = max(1, len(nodes) - 1)
+        self._cloud.set_share(LEADER_CLOUD_SHARE if self._node == leader_node else (1 - LEADER_CLOUD_SHARE) / others)
+        await broadcast(self._clients.values(), peer_messages.encode(own_load))
+
+    def _own_load(self, now: float) -> Load:
+        return Load(
+            self._node,
+            *self._store.recent_writes(),
+            self._owner.unregistered_machines(now),
+            self._owner.scale_in.released_unrecorded(),
+            self._store.throttled_writes,
+        )
+
+    def _write_share(self, shares: Mapping[str, RateShares], loads: Mapping[str, Load]) -> float:
+        return borrowed_share(
+            self._node,
+            {node: share.writes for node, share in shares.items()},
+            {node: load.writes / self._limits.write_rps for node, load in loads.items()},
+            {node for node, load in loads.items() if load.backlogged},
+        )
--- a/spurarch/transport/network.py
+++ b/spurarch/transport/network.py
@@ -1,13 +1,17 @@
-"""The doors to the network in one place, so that tests can put a simulated network in their stead."""
+"""All access to the network in one place, so that tests can replace it by a simulated network."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from typing import Protocol
 
+import curio
+
 from spurarch.transport.frames import FrameClient, FrameServer
 from spurarch.transport.http import Handler, HttpClient, HttpServer
 
+BROADCAST_TIMEOUT_S = 0.5  # of each receiver
+
 
 class Requests(Protocol):
     """A client of one address."""
@@ -23,6 +27,12 @@
         """Returns the peer's answer, or None if none came in time."""
 
 
+async def broadcast(clients: Iterable[Calls], frame: bytes) -> None:
+    """Sends a frame to all peers without waiting for their answers; it may be lost on the way to any of them."""
+    for client in clients:
+        await curio.spawn(client.call, frame, BROADCAST_TIMEOUT_S, daemon=True)
+
+
 class Service(Protocol):
     """Something that serves until it is cancelled."""
 
