--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -24,8 +24,9 @@
 from spurarch.settings import Platform, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.replica import Replica
-from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.storage.store import Store
 from spurarch.transport.http import Request, Response
 from spurarch.transport.network import Network
 
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -4,8 +4,8 @@
 
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry, TaskState
-from spurarch.storage.replica import ClusterState
 
 # The time that a task gets to checkpoint, from the duration that its user states.
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = 1.5, 1.0
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -16,7 +16,7 @@
 from spurarch.coordination.partition.statuses import StatusUpdater
 from spurarch.coordination.partition.stopping import StopRequests
 from spurarch.protocol import wire
-from spurarch.storage.replica import ClusterState
+from spurarch.storage.cluster_state import ClusterState
 
 if TYPE_CHECKING:
     from spurarch.coordination.partition.record_follower import RecordFollower
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -14,8 +14,8 @@
 from spurarch.coordination.partition.stopping import StopRequests
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey, AllocationRecord, MachineRecord, TaskEntry
-from spurarch.storage.replica import ClusterState
 
 
 class RecordFollower:
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -19,10 +19,10 @@
 from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
 from spurarch.coordination.partition.partition import Partition
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, MachineRecord, TaskEntry
-from spurarch.storage.replica import ClusterState, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.transaction import TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
         await self._commit_group(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
         if not owned.placer.pending_changes:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
-            if self._replica.store.can_write_now(Urgency.ENDS) or now - owned.deleted_at > DELETE_INTERVAL_S:
+            if self._replica.store.rates.can_write_now(Urgency.ENDS) or now - owned.deleted_at > DELETE_INTERVAL_S:
                 owned.deleted_at = now
                 bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
             owned.placer.pending_changes = {c.allocation: c.entries or {} for c in bulk if c.allocation is not None}
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -21,7 +21,7 @@
 from spurarch.coordination.runtime.round_budget import RoundBudget
 from spurarch.coordination.scaling.scale_in import ScaleIn
 from spurarch.storage.rate_limits import Urgency
-from spurarch.storage.replica import Write
+from spurarch.storage.transaction import Write
 
 log = logging.getLogger(__name__)
 
@@ -89,7 +89,7 @@
     async def _place(self, owned: OwnedPartition, changes: AllocationChanges, now: float) -> None:
         """Adds the assignments of a placement round to the changes, and stops what it preempts."""
         partition, budget = owned.partition, self._budget()
-        owned.placer.writes_scarce = self._context.replica.store.write_level() < SCARCE_LEVEL
+        owned.placer.writes_scarce = self._context.replica.store.rates.write_level() < SCARCE_LEVEL
         placed = owned.placer.run_round(partition, self._context.view, now, budget.spent, MOST_PLACED, time.time())
         if self._permissions.records_are_fresh(now):
             for attempt in placed.preempt:
@@ -105,7 +105,7 @@
 
     def _end_delay_s(self) -> float:
         """How long ends are collected: not at all while writes are plentiful, longer the scarcer they are."""
-        level = self._context.replica.store.write_level()
+        level = self._context.replica.store.rates.write_level()
         if level <= Urgency.STARTS.value:
             return END_DELAY_SCARCE_S
         return END_DELAY_S * min(1.0, max(0.0, END_DELAY_BELOW - level) / END_DELAY_BELOW)
--- a/spurarch/coordination/partition/terminal_records.py
+++ b/spurarch/coordination/partition/terminal_records.py
@@ -8,8 +8,8 @@
 from spurarch.coordination.partition.state import PartitionState
 from spurarch.protocol import wire
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey, TaskEntry
-from spurarch.storage.replica import ClusterState
 
 
 class TerminalRecords:
