--- /dev/null
+++ b/spurarch/coordination/admission/gang_planner.py
@@ -0,0 +1,100 @@
+"""Admission of gangs: all tasks of a job in one zone, or none."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from spurarch.coordination.admission.plan import ZoneAssignment
+from spurarch.coordination.admission.planning_state import PlanningState
+from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, all_fit, fill
+
+
+class _FailedGang(NamedTuple):
+    """A gang for which no zone was found in this round."""
+
+    requirements: Requirements  # of one member
+    size: int
+
+
+class GangPlanner:
+    """Finds the zone for all tasks of a gang."""
+
+    def __init__(self, state: PlanningState) -> None:
+        self._state = state
+        self._failed: list[_FailedGang] = []
+
+    def assign(self, job: JobView) -> ZoneAssignment:
+        """Assigns all tasks that wait for admission to one zone, or none of them.
+
+        A gang that fits nowhere yet may be admitted ahead of time to a zone where no other gang waits: its partition
+        owner keeps room free for it there.
+        """
+        zone = self._choose_zone(job, job.to_admit)
+        return ZoneAssignment() if zone is None else ZoneAssignment({zone: job.to_admit})
+
+    def _choose_zone(self, job: JobView, count: int) -> int | None:
+        state, requirements = self._state, job.requirements
+        if self._is_known_not_to_fit(requirements, count):
+            return None
+        used_zones = [zone for zone, number in job.tasks_by_zone.items() if number > 0]
+        fitting = {
+            zone: capacities
+            for zone in used_zones or state.with_room
+            if all_fit(requirements, capacities := state.with_room[zone], count)
+        }
+        if fitting:
+            zone = max(
+                fitting,
+                key=lambda zone: (
+                    _fits_on_machines_with_image(job, fitting[zone]),
+                    sum(capacity.free_cpus for capacity in fitting[zone]),
+                    -zone,
+                ),
+            )
+            fill(requirements, state.with_room[zone], count, state.bookings)
+            return zone
+        if used_zones:
+            return used_zones[0]  # the other members wait there already
+        zone_ahead = self._zone_ahead(requirements, count)
+        if zone_ahead is None:
+            self._failed.append(_FailedGang(requirements, count))
+            return None
+        state.zones_with_waiting_gang.add(zone_ahead)
+        state.queued_cpus[zone_ahead] += count * requirements.cpus
+        return zone_ahead
+
+    def _is_known_not_to_fit(self, requirements: Requirements, count: int) -> bool:
+        """Whether a gang with no greater requirements and no more members found no zone in this round."""
+        return any(
+            count >= failed.size and requirements.requires_at_least(failed.requirements) for failed in self._failed
+        )
+
+    def _zone_ahead(self, requirements: Requirements, count: int) -> int | None:
+        """The zone that frees room soonest beyond its queue, among those where no gang waits yet."""
+        state = self._state
+        able = [
+            zone
+            for zone in state.zones_for(requirements)
+            if zone not in state.zones_with_waiting_gang
+            and state.freed_cpus.get(zone, 0.0) > 0
+            and self._slots_after_preemption(requirements, zone, count) >= count
+        ]
+        return max(able, key=lambda zone: (state.spare_freed_cpus(zone), -zone), default=None)
+
+    def _slots_after_preemption(self, requirements: Requirements, zone: int, count: int) -> int:
+        """Tasks that fit into a zone once all but its most urgent work has ended, `count` on each machine at most."""
+        return sum(
+            capacity.slots_after_preemption(requirements, count)
+            for capacity in self._state.capacities
+            if capacity.zone == zone
+        )
+
+
+def _fits_on_machines_with_image(job: JobView, capacities: list[MachineCapacity]) -> bool:
+    """Whether the gang could start without fetching its image: its members start with the slowest of them."""
+    return all_fit(
+        job.requirements,
+        [capacity for capacity in capacities if job.requirements.image in capacity.images],
+        job.to_admit,
+    )
--- /dev/null
+++ b/spurarch/coordination/admission/planning_state.py
@@ -0,0 +1,113 @@
+"""State of one planning round: tentative bookings, capacity by zone, queues, and searches that found nothing."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Iterable
+
+from spurarch.coordination.admission.negative_cache import NegativeCache
+from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements, TentativeBookings, fill
+
+
+class PlanningState:
+    """What the planners of arrays, replicas and gangs share during one round.
+
+    Zones that no controller reaches are left out. Bookings change the capacities of the fleet view itself and have to
+    be undone at the end of the round.
+    """
+
+    def __init__(
+        self,
+        view: FleetView,
+        now: float,
+        admit_ahead_s: float,
+        longest_wait_s: float,
+        booting: Iterable[MachineCapacity],
+        min_tasks_per_zone: int,
+    ) -> None:
+        self.view, self.now, self.longest_wait_s = view, now, longest_wait_s
+        self.min_tasks_per_zone = min_tasks_per_zone
+        unreachable = set(map(view.zones.index, view.unreachable_zones()))
+        self.bookings = TentativeBookings()
+        self.capacities = [
+            capacity
+            for capacity in view.capacities.values()
+            if capacity.schedulable and capacity.zone not in unreachable
+        ]
+        self.with_room = _by_zone(capacity for capacity in self.capacities if capacity.free_cpus > EPSILON)
+        self.booting = _by_zone(capacity for capacity in booting if capacity.zone not in unreachable)
+        self.queued_cpus: dict[int, float] = defaultdict(float)  # by zone, of admitted tasks that wait for room
+        self.freed_cpus = _freed_cpus(view, admit_ahead_s, unreachable)  # by zone, within `admit_ahead_s`
+        self.zones_with_waiting_gang: set[int] = set()
+        self.no_free_room = NegativeCache()
+        self.no_booting_room = NegativeCache()
+        self._zones_by_shape: dict[tuple[object, ...], set[int]] = {}
+        self._cpus_with_image: dict[int, dict[int, float]] = {}
+
+    def is_starving(self, job: JobView) -> bool:
+        """Whether nothing of the job has run for the longest wait that users accept."""
+        return job.is_starving(self.now, self.longest_wait_s)
+
+    def spare_freed_cpus(self, zone: int) -> float:
+        """CPUs that the zone frees soon beyond what is queued for them; negative if more is queued."""
+        return self.freed_cpus[zone] - self.queued_cpus[zone]
+
+    def drop_full_machines(self) -> None:
+        """Leaves machines without free CPUs out of later searches."""
+        for capacities_by_zone in (self.with_room, self.booting):
+            for zone, capacities in capacities_by_zone.items():
+                capacities_by_zone[zone] = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
+
+    def fill_free(self, requirements: Requirements, zone: int, count: int) -> int:
+        """Books up to `count` equal tasks on free capacity of a zone; returns how many were booked."""
+        return sum(booked for _, booked in fill(requirements, self.with_room[zone], count, self.bookings))
+
+    def fill_booting(self, requirements: Requirements, zone: int, count: int) -> int:
+        """Books up to `count` equal tasks on booting machines of a zone; returns how many were booked."""
+        return sum(booked for _, booked in fill(requirements, self.booting[zone], count, self.bookings))
+
+    def zones_for(self, requirements: Requirements) -> set[int]:
+        """Zones with a machine that could hold the task if it were empty."""
+        if requirements.shape not in self._zones_by_shape:
+            self._zones_by_shape[requirements.shape] = {
+                capacity.zone for capacity in self.capacities if capacity.fits_when_empty(requirements)
+            }
+        return self._zones_by_shape[requirements.shape]
+
+    def cpus_with_image(self, image: int) -> dict[int, float]:
+        """By zone, CPUs of the machines that have the image: tasks start there without fetching it."""
+        if image not in self._cpus_with_image:
+            found: dict[int, float] = defaultdict(float)
+            for capacity in self.capacities:
+                if image in capacity.images:
+                    found[capacity.zone] += capacity.cpus
+            self._cpus_with_image[image] = found
+        return self._cpus_with_image[image]
+
+
+def in_zone_or_all(capacities: dict[int, list[MachineCapacity]], zone: int | None) -> list[MachineCapacity]:
+    """The machines of one zone, or of all zones if none is given."""
+    return [capacity for at, there in capacities.items() if zone is None or at == zone for capacity in there]
+
+
+def _by_zone(capacities: Iterable[MachineCapacity]) -> dict[int, list[MachineCapacity]]:
+    by_zone: dict[int, list[MachineCapacity]] = defaultdict(list)
+    for capacity in capacities:
+        by_zone[capacity.zone].append(capacity)
+    return by_zone
+
+
+def _freed_cpus(view: FleetView, admit_ahead_s: float, unreachable: set[int]) -> dict[int, float]:
+    """By zone, CPUs that running arrays free within `admit_ahead_s`, by their estimates."""
+    freed: dict[int, float] = defaultdict(float)
+    if admit_ahead_s <= 0:
+        return freed
+    for job in view.jobs.values():
+        if job.service or not job.assigned:
+            continue
+        rate = admit_ahead_s * job.requirements.cpus * job.assigned / max(1, job.charged) / max(job.estimate_s, 1.0)
+        for zone, count in job.tasks_by_zone.items():
+            if zone not in unreachable:
+                freed[zone] += count * rate
+    return freed
--- /dev/null
+++ b/spurarch/coordination/admission/replica_planner.py
@@ -0,0 +1,90 @@
+"""Admission of replicas: tasks that are placed one by one and spread over zones."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from spurarch.coordination.admission.plan import ZoneAssignment
+from spurarch.coordination.admission.planning_state import PlanningState
+from spurarch.coordination.admission.preemption import PreemptionPlanner
+from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.scheduling.best_fit import MachineCapacity, best_fit
+
+SPREAD_ZONES = 2  # zones that a service's replicas are spread over, if there is room
+
+
+class ReplicaPlanner:
+    """Spreads tasks over zones: each goes where the fewest are, if possible to a machine that has the image."""
+
+    def __init__(self, state: PlanningState, preemption: PreemptionPlanner) -> None:
+        self._state, self._preemption = state, preemption
+
+    def assign(self, job: JobView, only_zone: int | None, count: int) -> ZoneAssignment:
+        """Assigns up to `count` tasks, to one zone only if `only_zone` is given."""
+        tasks_by_zone = dict(job.tasks_by_zone)
+        assignment = ZoneAssignment()
+        for _ in range(count):
+            capacity = self._choose_machine(job, only_zone, tasks_by_zone, assignment)
+            if capacity is None:
+                break
+            self._state.bookings.book(capacity, job.requirements)
+            tasks_by_zone[capacity.zone] = tasks_by_zone.get(capacity.zone, 0) + 1
+            assignment.add(capacity.zone, 1)
+        return assignment
+
+    def _choose_machine(
+        self, job: JobView, only_zone: int | None, tasks_by_zone: dict[int, int], assignment: ZoneAssignment
+    ) -> MachineCapacity | None:
+        state, requirements, limit = self._state, job.requirements, job.max_tasks_per_zone
+        allowed_zones = [
+            zone
+            for zone in state.view.capacities_by_zone
+            if (only_zone is None or zone == only_zone) and (limit is None or tasks_by_zone.get(zone, 0) < limit)
+        ]
+        for zones in _zone_levels(allowed_zones, tasks_by_zone):
+            searched = [zone for zone in zones if not state.no_free_room.covers(requirements, zone)]
+            capacity = best_fit(requirements, (at for zone in searched for at in state.with_room[zone]))
+            if capacity is not None:
+                if requirements.image in capacity.images:
+                    return capacity
+                return self._preemption.machine_with_image(job, zones) or capacity
+            for zone in searched:
+                state.no_free_room.add(requirements, zone)
+        return self._preemption.machine_in_zones(job, allowed_zones) or self._choose_booting(
+            job, allowed_zones, tasks_by_zone, assignment
+        )
+
+    def _choose_booting(
+        self, job: JobView, allowed_zones: list[int], tasks_by_zone: dict[int, int], assignment: ZoneAssignment
+    ) -> MachineCapacity | None:
+        """A machine that boots, in the zone with the fewest replicas."""
+        state = self._state
+        for zones in _zone_levels(allowed_zones, tasks_by_zone):
+            for zone in zones:
+                if state.no_booting_room.covers(job.requirements, zone):
+                    continue
+                capacity = best_fit(job.requirements, state.booting[zone])
+                if capacity is not None:
+                    assignment.on_booting_machines += 1
+                    return capacity
+                state.no_booting_room.add(job.requirements, zone)
+        return None
+
+
+def _zone_levels(zones: list[int], tasks_by_zone: dict[int, int]) -> Iterable[list[int]]:
+    """Groups of zones in the order in which they should get the next replica.
+
+    Two zones are used first, evenly: half of a service's replicas may be in one zone. Every further zone would cost two
+    more record changes for each service, and record changes are the scarcest resource of a large fleet.
+    """
+    used = [zone for zone in zones if tasks_by_zone.get(zone, 0) > 0]
+    if len(used) >= SPREAD_ZONES:
+        for number in sorted({tasks_by_zone[zone] for zone in used}):
+            yield [zone for zone in used if tasks_by_zone[zone] == number]
+    elif used:
+        yield [zone for zone in zones if zone not in used]
+        yield used
+        return
+    unused = [zone for zone in zones if zone not in used]
+    if unused:
+        yield unused
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.admission.plan import AdmissionGrant
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import QuotaReservation
 from spurarch.coordination.membership.membership import Membership
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -10,7 +10,8 @@
 
 from spurarch.coordination.admission.job_finalizer import JobFinalizer
 from spurarch.coordination.admission.ledger_audit import LedgerAudit
-from spurarch.coordination.admission.planner import AdmissionPlan, AdmissionPlanner, CapacityShortage
+from spurarch.coordination.admission.plan import AdmissionPlan, CapacityShortage
+from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.admission.writer import AdmissionWriter
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from spurarch.coordination.admission.planner import CapacityShortage
+from spurarch.coordination.admission.plan import CapacityShortage
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
 from spurarch.coordination.runtime.stall_detector import StallDetector
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from itertools import islice
 
-from spurarch.coordination.admission.planner import CapacityShortage
+from spurarch.coordination.admission.plan import CapacityShortage
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.protocol import wire
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spurarch.coordination.admission.job_finalizer import JobFinalizer
-from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.admission.plan import AdmissionGrant
 from spurarch.coordination.admission.writer import AdmissionWriter
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import Charge
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -94,7 +94,7 @@
         fleet.put(str(AllocationKey(zone, f"job-{zone}", 0)), AllocationRecord(entries))
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", tasks), 1.0))
     fleet.view.update()
-    plan = AdmissionPlanner(fleet.view, 2.0, piece=piece).run(None, lambda: False, 24)
+    plan = AdmissionPlanner(fleet.view, 2.0, min_tasks_per_zone=piece).run(None, lambda: False, 24)
     return sorted(len(grant.entries) for grant in plan.grants)
 
 
