--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -16,6 +16,7 @@
 from spurarch.coordination.membership.membership import Membership, rate_shares
 from spurarch.coordination.membership.store_reachability import StoreReachability
 from spurarch.coordination.partition.command_sender import direct_connections
+from spurarch.coordination.partition.owned_partition import OwnerContext
 from spurarch.coordination.partition.owner import PartitionOwner
 from spurarch.coordination.runtime.event_loop_lag import EventLoopLag
 from spurarch.coordination.runtime.stall_detector import CHECK_INTERVAL_S, StallDetector
@@ -31,7 +32,7 @@
 
 if TYPE_CHECKING:
     from spurarch.coordination.leader import Leader
-    from spurarch.coordination.partition.partition import ArchiveCoverage
+    from spurarch.coordination.partition.state import ArchiveCoverage
     from spurarch.storage.history import HistoryGuard
 
 log = logging.getLogger(__name__)
@@ -62,8 +63,8 @@
     def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Looks at a worker's report for signs of loss."""
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
-        """Answers a report while the records may not be believed."""
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
+        """Answers a heartbeat while the records may not be believed."""
 
     def on_frame(self, frame: bytes) -> bytes | None:
         """Answers a peer's message of recovery; None if it is another."""
@@ -123,17 +124,19 @@
         self._lag = EventLoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
         self.owner = PartitionOwner(
-            self.replica,
-            self.membership,
-            self.view,
-            self.cloud,
-            self.reachability,
-            self.stall_detector,
-            self._lag,
-            deployment,
-            tuning,
-            network,
-            extension.coverage if extension is not None else None,
+            OwnerContext(
+                self.replica,
+                self.membership,
+                self.view,
+                self.cloud,
+                self.reachability,
+                self.stall_detector,
+                self._lag,
+                deployment,
+                tuning,
+                network,
+                extension.coverage if extension is not None else None,
+            )
         )
         self.job_api = JobApi(
             self.replica,
@@ -265,9 +268,8 @@
         if self._recovery is not None:
             self._recovery.observe(heartbeat)
             if self._recovery.closed:
-                return Response(*await self._recovery.on_heartbeat(heartbeat))
-        status, body = await self.owner.on_heartbeat(heartbeat, time.monotonic())
-        return Response(status, body)
+                return await self._recovery.on_heartbeat(heartbeat)
+        return await self.owner.on_heartbeat(heartbeat, time.monotonic())
 
     def _health(self) -> Response:
         """Healthy unless a peer could serve users and this controller can't."""
