--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -10,9 +10,10 @@
 import time
 from collections.abc import Callable
 
-from spurarch.coordination.partition.partition import TOKEN_BITS
+from spurarch.coordination.partition.state import TOKEN_BITS
 from spurarch.protocol import wire
 from spurarch.protocol.recovery_messages import HeartbeatsPage
+from spurarch.transport.http_messages import Response, error_response
 
 PAGE_HEARTBEATS = 200
 
@@ -42,7 +43,7 @@
         """The fencing token that workers are given."""
         return self.epoch << TOKEN_BITS
 
-    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
+    def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
         """Answers a heartbeat: status 200 renews the worker's lease, 503 sends it to another controller."""
         shown = heartbeat.fencing_token >> TOKEN_BITS
         if shown != self.epoch:
@@ -50,10 +51,10 @@
         if self.epoch and heartbeat.fencing_token == self.token:
             self._keep(heartbeat)
         if not self.epoch or heartbeat.fencing_token > self.token:
-            return 503, wire.encode(wire.ErrorBody("the records are being rebuilt"))
+            return error_response(503, "the records are being rebuilt")
         if not self._may_answer(time.monotonic()) and _runs_anything(heartbeat):
-            return 503, wire.encode(wire.ErrorBody("cut from the state service for too long"))
-        return 200, wire.encode(wire.HeartbeatResponse(self.token, self._stop_commands(heartbeat)))
+            return error_response(503, "cut from the state service for too long")
+        return Response(200, wire.encode(wire.HeartbeatResponse(self.token, self._stop_commands(heartbeat))))
 
     def _stop_commands(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Stops cancelled tasks, which needs no record, so that they end in time however long the rebuild takes."""
--- a/spurarch/recovery/loss_detection.py
+++ b/spurarch/recovery/loss_detection.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from spurarch.coordination.partition.partition import TOKEN_BITS
+from spurarch.coordination.partition.state import TOKEN_BITS
 from spurarch.protocol import wire
 from spurarch.storage.history import HistoryGuard
 from spurarch.storage.replica import Replica
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -35,6 +35,7 @@
 from spurarch.storage.history import CURRENT, OPEN, HistoryGuard, HistoryPhase, HistoryRecord, decode_history
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store
+from spurarch.transport.http_messages import Response
 from spurarch.transport.network import Calls, Network
 
 log = logging.getLogger(__name__)
@@ -192,7 +193,7 @@
         """Looks for a sign of loss in a heartbeat."""
         self._loss_detector.observe(heartbeat)
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
         """Answers a heartbeat while the records must not be trusted: HTTP status and body."""
         if self.collector.epoch:
             return self.collector.on_heartbeat(heartbeat)
