--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -14,7 +14,7 @@
 from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.partition.state import PartitionContext
-from spurarch.coordination.scaling.scale_in import ScaleIn
+from spurarch.coordination.scaling.scale_in import ScaleIn, ScaleInContext
 from spurarch.protocol import wire
 from spurarch.transport.http_messages import Response, error_response
 
@@ -51,14 +51,16 @@
             context.deployment.workers.cancel_s,
         )
         self.scale_in = ScaleIn(
-            context.replica,
-            context.membership,
-            context.view,
-            context.cloud,
-            self.permissions,
-            context.stall_detector,
-            context.deployment,
-            context.tuning,
+            ScaleInContext(
+                context.replica,
+                context.membership,
+                context.view,
+                context.cloud,
+                self.permissions,
+                context.stall_detector,
+                context.deployment,
+                context.tuning,
+            ),
             self.owned,
         )
         self._unregistered_machines: dict[str, dict[str, float]] = {}  # by zone and name, when they were last heard
--- /dev/null
+++ b/spurarch/coordination/scaling/idle_machines.py
@@ -0,0 +1,47 @@
+"""Which machines without a task are released. Decides only."""
+
+from __future__ import annotations
+
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.partition.failures import FAILURES_BEFORE_QUARANTINE
+from spurarch.coordination.partition.machine import Machine, MachineState
+from spurarch.coordination.partition.partition import Partition
+from spurarch.coordination.scheduling.best_fit import MachineCapacity
+from spurarch.settings import Tuning
+
+
+def idle_machines(partition: Partition, view: FleetView, tuning: Tuning, now: float) -> list[Machine]:
+    """Machines without a task: drained ones at once, others after a while and beyond the headroom of the fleet."""
+    unreachable = set(map(view.zones.index, view.unreachable_zones()))
+    capacities = [
+        capacity for capacity in view.capacities.values() if capacity.schedulable and capacity.zone not in unreachable
+    ]
+    total_cpus = sum(capacity.cpus for capacity in capacities)
+    free_cpus = sum(max(0.0, capacity.free_cpus) for capacity in capacities)
+    idle = []
+    for capacity in view.capacities_by_zone[view.zones.index(partition.zone)].values():
+        machine = partition.machines.get(view.machines.name(capacity.machine))
+        if machine is None or not _is_empty(machine, capacity):
+            continue
+        if machine.draining or machine.task_failures >= FAILURES_BEFORE_QUARANTINE:
+            # A cordoned machine is no room for anyone: kept, it would only cost. A faulty one is replaced.
+            idle.append(machine)
+            continue
+        if (
+            partition.unassigned
+            or machine.idle_since is None
+            or now - machine.idle_since < tuning.idle_release_s
+            or not capacity.schedulable
+            or free_cpus - capacity.cpus < tuning.headroom * (total_cpus - capacity.cpus)
+        ):
+            continue
+        free_cpus -= capacity.cpus
+        total_cpus -= capacity.cpus
+        idle.append(machine)
+    return idle
+
+
+def _is_empty(machine: Machine, capacity: MachineCapacity) -> bool:
+    return (
+        not capacity.tasks and not machine.attempts and machine.state is MachineState.ACTIVE and not machine.releasing
+    )
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -10,8 +10,8 @@
 import pytest
 
 from spurarch.coordination.partition.machine import MachineState
-from spurarch.coordination.scaling.scale_in import ScaleIn
-from spurarch.coordination.scaling.scale_in_candidates import overdue_machines
+from spurarch.coordination.scaling.overdue_machines import overdue_machines
+from spurarch.coordination.scaling.scale_in import ScaleIn, ScaleInContext
 from spurarch.protocol import wire
 from spurarch.settings import Workers
 from spurarch.storage import records
@@ -24,8 +24,9 @@
 def _returns(**parts: Any) -> ScaleIn:
     unused: Any = None
     given = {"can": SimpleNamespace(reachability=None), "owned": {}, "replica": None, "cloud": None, **parts}
+    deployment: Any = SimpleNamespace(workers=WORKERS, state=SimpleNamespace(transaction_changes=24))
     fixed = (given["replica"], unused, unused, given["cloud"], given["can"])
-    return ScaleIn(*fixed, unused, unused, unused, given["owned"])
+    return ScaleIn(ScaleInContext(*fixed, unused, deployment, unused), given["owned"])
 
 
 def test_a_machine_left_out_of_a_return_is_of_use_again() -> None:
@@ -57,9 +58,9 @@
     can: Any = SimpleNamespace(owns=lambda part: True, reachability=None)
     replica, cloud = SimpleNamespace(sync=sync), SimpleNamespace(release=release)
     returns = _returns(can=can, replica=replica, cloud=cloud)
-    returns._cordon = close  # type: ignore[method-assign, assignment]
+    returns._releaser._cordon = close  # type: ignore[method-assign, assignment]
     owned: Any = SimpleNamespace(partition=fleet.partition, wakeup=SimpleNamespace(set=ring))
-    curio.run(returns._release_owned, owned, machines)
+    curio.run(returns._releaser.release_owned, owned, machines)
     assert released == ["vm-0"]
     assert [machine.state for machine in machines] == [MachineState.RELEASED, MachineState.ACTIVE]
     assert not machines[1].releasing
@@ -120,7 +121,7 @@
     returns = _returns(
         replica=SimpleNamespace(state=fleet.state), owned={"a": SimpleNamespace(partition=fleet.partition)}
     )
-    returns._remember_released({"vm-1": "a", "vm-7": "a"})
+    returns._releaser.remember_released({"vm-1": "a", "vm-7": "a"})
     told = returns.released_unrecorded()
     assert told == ["vm-1"]  # the record of vm-7 is gone
     returns.on_peer_load("n1", {}, told)
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -8,7 +8,12 @@
 from spurarch.coordination.partition.command_sender import direct_connections
 from spurarch.coordination.partition.machine import MachineState
 from spurarch.coordination.runtime.stall_detector import STALL_S, StallDetector
-from spurarch.coordination.scaling.scale_in_candidates import cut_off, silent_machines
+from spurarch.coordination.scaling.silent_machines import (
+    SilenceLimits,
+    SilenceObservation,
+    is_mostly_silent,
+    silent_machines,
+)
 from spurarch.settings import Tuning, Workers
 from tests.test_scale import Fleet
 
@@ -31,8 +36,10 @@
     woke = 60.0  # the machines were last heard 58 s before
 
     def found(now: float, resumed_at: float) -> int:
-        cut = cut_off(fleet.partition, WORKERS, now, resumed_at)
-        return cut + len(silent_machines(fleet.partition, Tuning(), WORKERS, 15.0, now, cut, resumed_at))
+        observation = SilenceObservation(fleet.partition, WORKERS, now, resumed_at)
+        mostly_silent = is_mostly_silent(observation)
+        limits = SilenceLimits.of(Tuning(), WORKERS, 15.0)
+        return mostly_silent + len(silent_machines(observation, limits, mostly_silent))
 
     assert found(woke, 0.0)
     assert not found(woke, woke)
@@ -66,8 +73,9 @@
         machine.last_heartbeat_at = 100.0 - 0.3 * i  # the cut begins at 100
 
     def returned(now: float) -> int:
-        cut = cut_off(fleet.partition, workers, now)
-        return len(silent_machines(fleet.partition, Tuning(), workers, 26.0, now, cut))
+        observation = SilenceObservation(fleet.partition, workers, now)
+        limits = SilenceLimits.of(Tuning(), workers, 26.0)
+        return len(silent_machines(observation, limits, is_mostly_silent(observation)))
 
     assert not any(returned(100.0 + n / 4) for n in range(60))
     fleet.partition.machines["vm-9"].last_heartbeat_at = 90.0
@@ -85,5 +93,7 @@
     for i, machine in enumerate(fleet.partition.machines.values()):
         if i:
             machine.state, machine.last_heartbeat_at = MachineState.UNCONFIRMED, None
-    assert not cut_off(fleet.partition, WORKERS, 6.0)  # the others may still be on their way to a new owner
-    assert cut_off(fleet.partition, WORKERS, 30.0)
+    assert not is_mostly_silent(
+        SilenceObservation(fleet.partition, WORKERS, 6.0)
+    )  # the others may still be on their way to a new owner
+    assert is_mostly_silent(SilenceObservation(fleet.partition, WORKERS, 30.0))
