--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -1,4 +1,4 @@
-"""Final standings: jobs whose tasks have all ended, and cancelled ones that are off all machines."""
+"""Final states of jobs: those whose tasks have all ended, and cancelled ones that are off all machines."""
 
 from __future__ import annotations
 
@@ -15,75 +15,75 @@
 
 log = logging.getLogger(__name__)
 
-MOST_ENDED = 200  # jobs looked at in one round
+MAX_JOBS_PER_ROUND = 200
 
 
 class JobFinalizer:
-    """Records final standings; only the leader may, and each transaction guards its record."""
+    """Records final states; only the leader may, and each transaction guards the leader's record."""
 
     def __init__(self, replica: Replica, view: FleetView, limits: StateLimits) -> None:
         self._replica, self._view = replica, view
         self._changed_keys = replica.state.subscribe()
-        self._jobs: dict[str, None] = {}  # of which something changed
-        self._most_changes = limits.transaction_changes
+        self._changed_jobs: dict[str, None] = {}
+        self._max_changes = limits.transaction_changes
         reserved = 1 + replica.store.reserved_guards  # the leader's record, and what the store adds
-        self._most_guards = limits.transaction_guards - self._most_changes - reserved
+        self._max_guards = limits.transaction_guards - self._max_changes - reserved
 
     def begin_term(self) -> None:
-        """Looks at all jobs once."""
+        """Checks all jobs once."""
         self._changed_keys.clear()
-        self._jobs = dict.fromkeys(self._replica.state.jobs)
+        self._changed_jobs = dict.fromkeys(self._replica.state.jobs)
 
     def discard_changes(self) -> None:
-        """Another one leads: the news would gather, and a new leader looks at all jobs in any case."""
+        """Another controller leads: changes would pile up, and a new leader checks all jobs in any case."""
         self._changed_keys.clear()
 
     async def finalize_jobs(self) -> None:
-        """Records the final standing of jobs whose tasks have all ended, and of cancelled ones that are off.
+        """Records the final states of jobs whose tasks have all ended, and of cancelled ones that are off all machines.
 
-        Only jobs of which something changed are looked at, and several go out in one transaction.
+        Only jobs with changed records are checked, and several are committed in one transaction.
         """
         for key in self._changed_keys:
             if key.startswith(records.JOB):
-                self._jobs[key[len(records.JOB) :]] = None
+                self._changed_jobs[key[len(records.JOB) :]] = None
             elif key.startswith(records.ALLOCATION):
-                self._jobs[AllocationKey.parse(key).job] = None
+                self._changed_jobs[AllocationKey.parse(key).job] = None
         self._changed_keys.clear()
         batch: list[Write] = []
         guards: set[str] = set()
-        refs: list[str] = []
-        for job_id in list(self._jobs)[:MOST_ENDED]:
+        job_ids: list[str] = []
+        for job_id in list(self._changed_jobs)[:MAX_JOBS_PER_ROUND]:
             final = self.final_record(job_id)
             if final is None:
-                del self._jobs[job_id]
+                del self._changed_jobs[job_id]
                 continue
-            writes, more = self._final_writes(job_id, final)
-            too_many = len(batch) + len(writes) > self._most_changes or len(guards) + len(more) > self._most_guards
+            writes, job_guards = self._final_writes(job_id, final)
+            too_many = len(batch) + len(writes) > self._max_changes or len(guards) + len(job_guards) > self._max_guards
             if batch and too_many:
-                await self._commit_ends(batch, guards, refs)
-                batch, guards, refs = [], set(), []
+                await self._commit_final_states(batch, guards, job_ids)
+                batch, guards, job_ids = [], set(), []
                 final = self.final_record(job_id)
                 if final is None:
                     continue
-                writes, more = self._final_writes(job_id, final)
+                writes, job_guards = self._final_writes(job_id, final)
             batch += writes
-            guards |= more
-            refs.append(job_id)
+            guards |= job_guards
+            job_ids.append(job_id)
         if batch:
-            await self._commit_ends(batch, guards, refs)
+            await self._commit_final_states(batch, guards, job_ids)
 
-    async def _commit_ends(self, writes: list[Write], guards: set[str], refs: list[str]) -> None:
+    async def _commit_final_states(self, writes: list[Write], guards: set[str], job_ids: list[str]) -> None:
         result = await self._replica.commit(writes, [records.LEADER, *guards])
-        if result.status is TransactionStatus.INVALID and len(refs) > 1:
-            for job_id in refs:  # one job that can't be ended must not keep the others from it
+        if result.status is TransactionStatus.INVALID and len(job_ids) > 1:
+            for job_id in job_ids:  # one job whose state is refused must not keep the others from theirs
                 final = self.final_record(job_id)
                 if final is not None:
-                    alone, more = self._final_writes(job_id, final)
-                    await self._commit_ends(alone, more, [job_id])
-        log.debug("job ends committed count=%d status=%s", len(refs), result.status.value)
+                    job_writes, job_guards = self._final_writes(job_id, final)
+                    await self._commit_final_states(job_writes, job_guards, [job_id])
+        log.debug("job ends committed count=%d status=%s", len(job_ids), result.status.value)
 
     def final_record(self, job_id: str) -> FinalRecord | None:
-        """The standing of a job that is over, or None."""
+        """The final state of a job, or None if it has not ended."""
         state = self._replica.state
         record = state.jobs.get(job_id)
         if record is None:
@@ -102,12 +102,12 @@
         return FinalRecord(wire.DONE, record.spec.tasks) if ended >= record.spec.tasks else None
 
     def _final_writes(self, job_id: str, final: FinalRecord) -> tuple[list[Write], set[str]]:
-        state, most = self._replica.state, self._most_changes
+        state = self._replica.state
         writes = [Write(records.FINAL + job_id, final), Write(records.JOB + job_id, None)]
         if job_id in state.admissions:
             writes.append(Write(records.ADMISSION + job_id, None))
-        # What does not fit goes with the owners' clean-up of jobs that are over; all of it while changes are scarce.
-        rest = [str(key) for key in state.allocations.get(job_id, {})]
+        # What does not fit is deleted by the partition owners' clean-up; all of it while changes are scarce.
+        allocations = [str(key) for key in state.allocations.get(job_id, {})]
         if self._replica.store.can_write_now(Urgency.ENDS):
-            writes += [Write(key, None) for key in rest[: most - len(writes)]]
-        return writes, set(rest[: self._most_guards])
+            writes += [Write(key, None) for key in allocations[: self._max_changes - len(writes)]]
+        return writes, set(allocations[: self._max_guards])
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -1,4 +1,7 @@
-"""What only the leader does: rounds of admission, ending jobs, renting. Every transaction guards the leader's record."""
+"""What only the leader does: admission rounds, final states of jobs, scale out.
+
+Every transaction guards the leader's record.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +29,10 @@
 log = logging.getLogger(__name__)
 
 ROUND_PAUSE_S = 0.1
-ROUND_REST = 8.0  # times the processor time of a round
-PIECE = 16  # tasks: while changes are scarce, an array is admitted to a zone in no smaller pieces
-ENDS_PAUSE_S = 0.1
-LOG_EVERY_S = 10.0
+ROUND_REST_FACTOR = 8.0  # rest after a round, as a multiple of its duration
+MIN_TASKS_PER_ZONE = 16  # of an array, while record changes are scarcest
+FINALIZER_INTERVAL_S = 0.1
+LOG_INTERVAL_S = 10.0
 
 
 class Leader:
@@ -50,19 +53,19 @@
         self.replica, self.membership, self.view = replica, membership, view
         self.deployment, self.tuning = deployment, tuning
         self._wakeup = replica.listen()
-        self._admissions = AdmissionWriter(replica, membership, view, deployment.state, notify_peers)
+        self._writer = AdmissionWriter(replica, membership, view, deployment.state, notify_peers)
         self._finalizer = JobFinalizer(replica, view, deployment.state)
         self._scale_out = ScaleOut(
             replica, membership, view, cloud, stall_detector, deployment, tuning, process_incarnation
         )
         self._next_job: str | None = None
-        self._shortages_so_far: list[CapacityShortage] = []
-        self._term: int | None = None  # under which the rounds go on
+        self._shortages: list[CapacityShortage] = []
+        self._term: int | None = None  # under which this process leads
         self._audit = LedgerAudit(view)
-        self._next_log = self._next_full = 0.0
+        self._next_log = self._next_round = 0.0
 
     async def run(self) -> None:
-        """Rounds of the leader: on news, and every now and then."""
+        """Runs a round whenever records changed or the controller asks for one."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
@@ -93,59 +96,59 @@
         self._term = term
         self._scale_out.begin_term(term)
         self._finalizer.begin_term()
-        self._next_job, self._shortages_so_far = None, []
+        self._next_job, self._shortages = None, []
         self.view.update()
         self._audit.check_all()
         log.info("leader term confirmed term=%d revision=%d", term, self.replica.state.revision)
 
     async def _round(self, term: int) -> None:
         now = time.monotonic()
-        if now < self._next_full:
+        if now < self._next_round:
             return
         share = self.deployment.limits.cpu
         budget = RoundBudget(self.tuning.budget_ms / 1000, share)
         self.view.update()
         self.view.ledger.release_resolved(self.replica.state.revision, term)
-        scarce = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
+        scarcity = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
         admission = AdmissionPlanner(
             self.view,
             time.time(),
             self.tuning.ahead_s,
             self.tuning.longest_wait_s,
             self._scale_out.booting_capacity(now),
-            max(1, round(PIECE * scarce)),
+            max(1, round(MIN_TASKS_PER_ZONE * scarcity)),
         )
         plan = admission.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
         # A share of the processor at most, however much there is to admit.
         ended = time.monotonic()
-        self._next_full = ended + rest_s(ended - now, share, ROUND_REST, ROUND_PAUSE_S)
+        self._next_round = ended + rest_s(ended - now, share, ROUND_REST_FACTOR, ROUND_PAUSE_S)
         self._record_shortages(plan)
         urgent = [grant for grant in plan.grants if not self.view.jobs[grant.job].array]
         arrays = [grant for grant in plan.grants if self.view.jobs[grant.job].array]
-        planned = {grant.job: self._admissions.as_planned(grant.job) for grant in plan.grants}
-        await self._admissions.admit(urgent, planned, Urgency.REPLICAS)
-        await self._admissions.admit_beside(arrays, planned)
+        planned = {grant.job: self._writer.record_versions(grant.job) for grant in plan.grants}
+        await self._writer.admit(urgent, planned, Urgency.REPLICAS)
+        await self._writer.admit_in_background(arrays, planned)
 
     def _record_shortages(self, plan: AdmissionPlan) -> None:
-        """What all rounds from the first job to the last found short, so that a plan cut off by time rents no less."""
-        self._shortages_so_far += plan.shortages
+        """Collects the shortages of all rounds from the first job to the last: a spent budget requests no less."""
+        self._shortages += plan.shortages
         if plan.next_job is None or not self._scale_out.shortages:
-            self._scale_out.shortages = self._shortages_so_far
+            self._scale_out.shortages = self._shortages
         if plan.next_job is None or self._next_job is None:
-            self._shortages_so_far = [] if plan.next_job is None else plan.shortages
+            self._shortages = [] if plan.next_job is None else plan.shortages
         self._next_job = plan.next_job
 
     async def run_scaling(self) -> None:
-        """Prices on every controller; rentals and the machine list while this one leads."""
+        """Runs scale out: prices on every controller, requests and the machine list while this one leads."""
         await self._scale_out.run()
 
     async def run_finalizer(self) -> None:
-        """Ends of jobs have rounds of their own.
+        """Runs the rounds that record final states of jobs.
 
-        When changes are short they wait in line, and admission must not wait with them.
+        When record changes are scarce these wait for the rate limit, and admission must not wait with them.
         """
         while True:
-            await curio.sleep(ENDS_PAUSE_S)
+            await curio.sleep(FINALIZER_INTERVAL_S)
             try:
                 if self._term is not None and self.membership.confirmed_term == self._term:
                     self.view.update()
@@ -159,7 +162,7 @@
 
     def _log_teams(self, now: float) -> None:
         if now >= self._next_log:
-            self._next_log = now + LOG_EVERY_S
+            self._next_log = now + LOG_INTERVAL_S
             ledger = self.view.ledger
             log.info(
                 "team quota totals term=%s revision=%d violations=%d %s",
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -1,9 +1,10 @@
-"""The leader's dealings with the cloud: the machine list, rentals by what is short, and machines that never come up."""
+"""Scale out by the leader: the machine list, requests for missing capacity, and machines that never become ready."""
 
 from __future__ import annotations
 
 import logging
 import time
+from dataclasses import dataclass
 
 import curio
 
@@ -26,23 +27,24 @@
 
 log = logging.getLogger(__name__)
 
-LIST_EVERY_S = 5.0
-TYPES_EVERY_S = 60.0
-NEVER_UP_FACTOR = 4.0
-NEVER_UP_LEAST_S = 90.0
-FRESH_S = 3.0
+LIST_INTERVAL_S = 5.0
+TYPES_INTERVAL_S = 60.0
+NEVER_READY_BOOT_TIMES = 4.0
+NEVER_READY_LEAST_S = 90.0
+FRESH_S = 3.0  # age of the copy of the records by which this process still acts as the leader
 SLOW_START_S = 60.0  # a machine that takes longer may never come up
 
 
+@dataclass(frozen=True, slots=True)
 class BootingMachine:
-    """A machine that was rented and has not reported yet."""
+    """A machine that was requested and is not on record yet, as it has sent no heartbeat."""
 
-    def __init__(self, kind: MachineKind, since: float) -> None:
-        self.kind, self.since = kind, since
+    kind: MachineKind
+    since: float  # monotonic, in seconds
 
 
 class ScaleOut:
-    """Keeps types and prices known; rents while this process leads."""
+    """Keeps machine types and prices up to date; requests machines while this process leads."""
 
     def __init__(
         self,
@@ -66,7 +68,7 @@
         self.booting: dict[str, BootingMachine] = {}
         self._exhausted_until: dict[MachineKind, float] = {}
         self._requests_made = 0
-        self._term: int | None = None  # under which this process rents
+        self._term: int | None = None  # under which this process requests machines
         self._listed = False
 
     def begin_term(self, term: int) -> None:
@@ -74,11 +76,11 @@
         self._term = term
 
     def end_term(self) -> None:
-        """This process leads no more, or can't be sure."""
+        """This process does not lead any more, or can't be sure that it does."""
         self._term, self._listed = None, False
 
     def booting_capacity(self, now: float) -> list[MachineCapacity]:
-        """Room on machines that boot."""
+        """Capacity of machines that boot, except those that take so long that they may never become ready."""
         self._forget_started()
         return [
             empty_capacity(self._view, self._view.machine_types[b.kind.type], b.kind)
@@ -87,9 +89,9 @@
         ]
 
     def _may_act(self) -> bool:
-        """This process leads as far as a recent copy shows.
+        """Whether this process leads, by a recent copy of the records.
 
-        One that stood still would rent a second time, or return machines that the next leader uses by now.
+        One that was stalled would request machines twice, or release machines that the next leader uses by now.
         """
         now = time.monotonic()
         fresh = now - self._replica.synced_at < FRESH_S and self._stall_detector.confirmed_since_stall(
@@ -99,17 +101,17 @@
         return leading and fresh and self._replica.store.trusted
 
     async def run(self) -> None:
-        """Keeps types and prices known on every controller; the leader also lists and rents."""
+        """Keeps types and prices up to date on every controller; the leader also lists and requests machines."""
         types_at = list_at = -1e9
         while True:
             now = time.monotonic()
             try:
-                if now - types_at > TYPES_EVERY_S or not self._view.machine_types:
+                if now - types_at > TYPES_INTERVAL_S or not self._view.machine_types:
                     self._view.set_machine_types(await self._cloud.types())
                     types_at = now
                     await self._replica.notify()
                 if self._may_act():
-                    if now - list_at > LIST_EVERY_S or not self._listed:
+                    if now - list_at > LIST_INTERVAL_S or not self._listed:
                         await self._check_machine_list()
                         list_at = now
                     await self._request_missing()
@@ -128,42 +130,42 @@
             del self.booting[name]
 
     async def _check_machine_list(self) -> None:
-        """Finds machines that boot, and returns those that never come up or have failed unseen."""
+        """Finds machines that boot, and releases those that never became ready or failed before they were on record."""
         machines = await self._cloud.machines()
         now = time.monotonic()
         self._listed = True
         known = {name for zone in self._deployment.zones for name in self._replica.state.machines[zone]}
-        useless = []
+        unusable = []
         for machine in machines:
             if machine.id in known:
                 continue
             offer = self._view.machine_types.get(machine.type)
-            timeout_s = max(NEVER_UP_LEAST_S, NEVER_UP_FACTOR * (offer.boot_s if offer else 60.0))
+            timeout_s = max(NEVER_READY_LEAST_S, NEVER_READY_BOOT_TIMES * (offer.boot_s if offer else 60.0))
             if machine.state == wire.FAILED or machine.age_s > timeout_s:
-                useless.append(machine.id)
+                unusable.append(machine.id)
                 self.booting.pop(machine.id, None)
             elif machine.state == wire.BOOTING and machine.id not in self.booting:
                 kind = MachineKind(machine.type, machine.zone, machine.spot)
                 self.booting[machine.id] = BootingMachine(kind, now - machine.age_s)
         self._forget_started()
         for name, booting in list(self.booting.items()):
-            if now - booting.since > NEVER_UP_LEAST_S * 2:
+            if now - booting.since > NEVER_READY_LEAST_S * 2:
                 del self.booting[name]
-        if useless:
-            log.info("releasing machines that never became ready machines=%s", ",".join(useless[:100]))
-            await self._cloud.release(useless[:100], self._may_act)
+        if unusable:
+            log.info("releasing machines that never became ready machines=%s", ",".join(unusable[:100]))
+            await self._cloud.release(unusable[:100], self._may_act)
 
     async def _request_missing(self) -> None:
         self._forget_started()
         now = time.monotonic()
         self._exhausted_until = {kind: until for kind, until in self._exhausted_until.items() if until > now}
-        dark = self._view.unreachable_zones()
+        unreachable = self._view.unreachable_zones()
         orders = plan_scale_out(
             self._view,
             self.shortages,
-            [b.kind for b in self.booting.values() if b.kind.zone not in dark],
+            [b.kind for b in self.booting.values() if b.kind.zone not in unreachable],
             set(self._exhausted_until),
-            [zone for zone in self._deployment.zones if zone not in dark],
+            [zone for zone in self._deployment.zones if zone not in unreachable],
             FreedCapacityEstimate(self._view, self._tuning.turnover_share),
             time.time(),
         )
@@ -190,7 +192,7 @@
                 if not err.outcome_unknown:
                     return
         else:
-            return  # it may still be carried out: the machines then show in the list and in reports
+            return  # it may still be carried out: the machines then appear in the list and send heartbeats
         now = time.monotonic()
         log.info("scale out granted count=%d requested=%d kind=%s", len(names), order.count, kind)
         for name in names:
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -1,4 +1,4 @@
-"""How many machines of which kind to rent where. Pure."""
+"""How many machines of which kind to request in which zone. Decides only."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.protocol import wire
 
-MOST_AT_ONCE = 50
-MOST_PLANNED = 400  # machines in one plan
+MAX_MACHINES_PER_ORDER = 50
+MAX_MACHINES_PER_PLAN = 400
 WAVE_SLACK = 1.2  # estimates are often wrong, and images are fetched
-LATE_WAVES, MOST_WAVES = 2, 4
+LATE_WAVES, MAX_WAVES = 2, 4
 
 
 @dataclass(slots=True, frozen=True)
 class MachineKind:
-    """A kind of machine that can be rented: type, zone, and spot or ordinary."""
+    """A kind of machine that can be requested: type, zone, and spot or on demand."""
 
     type: str
     zone: str
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class ScaleOutOrder:
-    """Machines to rent."""
+    """Machines of one kind to request."""
 
     kind: MachineKind
     count: int
@@ -53,11 +53,11 @@
 
 
 class FreedCapacityEstimate:
-    """Room that running arrays will free before a rented machine could help.
+    """Capacity that running arrays free before a requested machine could help.
 
-    A machine rented for a task takes its boot time to come up, and by then much of what runs now has ended. So only
-    tasks that can't start on what is freed meanwhile are worth a machine. `share` says how far that is trusted:
-    estimates are often wrong, and jobs that come later want the same room.
+    A machine takes its boot time to become ready, and by then much of what runs now has ended. So only tasks that can't
+    start on what is freed meanwhile are worth a machine. `share` says how far that is trusted: estimates are often
+    wrong, and jobs that are submitted later need the same capacity.
     """
 
     def __init__(self, view: FleetView, share: float) -> None:
@@ -88,7 +88,7 @@
     freed: FreedCapacityEstimate,
     now: float,
 ) -> list[ScaleOutOrder]:
-    """Rents for the tasks that fit neither on what is up nor on what is booting, at the least price per task."""
+    """Orders for the tasks that fit neither on ready nor on booting machines, at the lowest price per task."""
     capacities = [empty_capacity(view, view.machine_types[k.type], k) for k in booting if k.type in view.machine_types]
     owned: dict[MachineKind, int] = defaultdict(int)
     per_zone: dict[int, int] = defaultdict(int)
@@ -97,19 +97,19 @@
     for capacity in capacities:
         per_zone[capacity.zone] += 1
     boot_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
-    for shortage in _alike(_in_waves(shortage, now, boot_s) for shortage in shortages):
+    for shortage in _merge_equal(_count_by_waves(shortage, now, boot_s) for shortage in shortages):
         left = shortage.count - freed.absorb(shortage)
-        open_zones = zones
+        allowed_zones = zones
         if shortage.gang and left > 0:
             by_room = _zones_by_room(view, shortage.requirements, left, capacities, zones)
-            rentable = (
+            available = (
                 z for z in by_room if _cheapest(view, shortage.requirements, left, exhausted, [z], per_zone) is not None
             )
-            open_zones = list(islice(rentable, 1))
+            allowed_zones = list(islice(available, 1))
         for capacity in capacities:
             if left <= 0:
                 break
-            if shortage.gang and view.zones.name(capacity.zone) not in open_zones:
+            if shortage.gang and view.zones.name(capacity.zone) not in allowed_zones:
                 continue
             if capacity.fits(shortage.requirements):
                 taken = capacity.task_slots(shortage.requirements, left)
@@ -117,8 +117,8 @@
                 left -= taken
         capacities = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
         while left > 0:
-            kind = _cheapest(view, shortage.requirements, left, exhausted, open_zones, per_zone)
-            if kind is None or sum(owned.values()) >= MOST_PLANNED:
+            kind = _cheapest(view, shortage.requirements, left, exhausted, allowed_zones, per_zone)
+            if kind is None or sum(owned.values()) >= MAX_MACHINES_PER_PLAN:
                 break
             owned[kind] += 1
             capacity = empty_capacity(view, view.machine_types[kind.type], kind)
@@ -128,13 +128,13 @@
             left -= taken
             if capacity.free_cpus > EPSILON:
                 capacities.append(capacity)
-    return [ScaleOutOrder(kind, min(count, MOST_AT_ONCE)) for kind, count in owned.items()]
+    return [ScaleOutOrder(kind, min(count, MAX_MACHINES_PER_ORDER)) for kind, count in owned.items()]
 
 
 def _zones_by_room(
     view: FleetView, requirements: Requirements, count: int, booting: list[MachineCapacity], zones: list[str]
 ) -> list[str]:
-    """Zones in the order in which a gang should be given one: where the fewest machines have to be rented for it."""
+    """Zones in the order in which a gang should be given one: where the fewest machines have to be requested for it."""
 
     def room_in(zone: str) -> int:
         index = view.zones.index(zone)
@@ -147,20 +147,20 @@
     return sorted(zones, key=lambda zone: (-room_in(zone), zone))
 
 
-def _in_waves(shortage: CapacityShortage, now: float, boot_s: float) -> CapacityShortage:
-    """As many tasks as need a machine each: the others can run there after them and still be done in time.
+def _count_by_waves(shortage: CapacityShortage, now: float, boot_s: float) -> CapacityShortage:
+    """Counts only tasks that need a machine each: the others can run there after them and still meet the deadline.
 
-    What is late whatever is rented gains nothing by a machine for every task.
+    Tasks that are late whatever is requested gain nothing by a machine for every task.
     """
     if shortage.service or shortage.gang or shortage.deadline is None:
         return shortage
     left, each = shortage.deadline - now - boot_s, WAVE_SLACK * max(shortage.estimate_s, 1.0)
-    waves = LATE_WAVES if left < each else min(MOST_WAVES, int(left / each))
+    waves = LATE_WAVES if left < each else min(MAX_WAVES, int(left / each))
     return replace(shortage, count=math.ceil(shortage.count / waves))
 
 
-def _alike(shortages: Iterable[CapacityShortage]) -> list[CapacityShortage]:
-    """Shortages in order of urgency, those of like tasks as one: there may be hundreds of small jobs."""
+def _merge_equal(shortages: Iterable[CapacityShortage]) -> list[CapacityShortage]:
+    """Shortages in order of urgency, those of equal tasks merged: there may be hundreds of small jobs."""
     out: dict[tuple[object, ...], CapacityShortage] = {}
     for s in sorted(
         shortages, key=lambda s: (s.requirements.priority, s.deadline if s.deadline is not None else math.inf)
@@ -178,11 +178,11 @@
     view: FleetView,
     requirements: Requirements,
     count: int,
-    closed: set[MachineKind],
+    exhausted: set[MachineKind],
     zones: list[str],
     per_zone: dict[int, int],
 ) -> MachineKind | None:
-    """The kind with the least price per task, in the zone with the fewest machines."""
+    """The kind with the lowest price per task, in the zone with the fewest machines; None if there is none."""
     best: tuple[float, int, str] | None = None
     choice: MachineKind | None = None
     for offer in view.machine_types.values():
@@ -196,7 +196,7 @@
                 continue
             for spot in (True, False):
                 kind = MachineKind(offer.name, zone, spot)
-                if kind in closed or (spot and not requirements.spot):
+                if kind in exhausted or (spot and not requirements.spot):
                     continue
                 price = (offer.spot_price if spot else offer.price) / min(fit, count)
                 order = (price, per_zone[zone_index], zone)
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -92,7 +92,7 @@
     replica: Any = SlowReplica(fleet, meanwhile)
     writer = writer_of(fleet, replica, most_changes=3)
     grants = [grant_of(fleet, "job-1", 2), grant_of(fleet, "job-2", 4)]
-    planned = {job_id: writer.as_planned(job_id) for job_id in ("job-1", "job-2")}
+    planned = {job_id: writer.record_versions(job_id) for job_id in ("job-1", "job-2")}
     curio.run(writer.admit, grants, planned, Urgency.STARTS)
     assert replica.committed == [["live/admitted/job-1", "live/allot/a/job-1/0"]]
     assert fleet.view.ledger.recorded(0) == Charge.of(6.0, 0.0)
@@ -107,7 +107,7 @@
     async def both() -> None:
         async with curio.TaskGroup() as group:
             for job_id in ("job-1", "job-2"):
-                planned = {job_id: writer.as_planned(job_id)}
+                planned = {job_id: writer.record_versions(job_id)}
                 await group.spawn(writer.admit, [grant_of(fleet, job_id, 4)], planned, Urgency.STARTS)
 
     curio.run(both)
@@ -130,7 +130,7 @@
     writer = writer_of(fleet, replica)
     grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
     assert writer._job_admission("job-1", [grant]).tasks == 1
-    curio.run(writer.admit, [grant], {"job-1": writer.as_planned("job-1")}, Urgency.STARTS)
+    curio.run(writer.admit, [grant], {"job-1": writer.record_versions("job-1")}, Urgency.STARTS)
     assert len(replica.committed) == 1
     assert fleet.view.ledger.recorded(0) == Charge.of(3.0, 0.0)
 
@@ -139,7 +139,7 @@
     fleet = limited_fleet(6.0, ("job-1", 2))
     replica: Any = SlowReplica(fleet, lambda _: None)
     writer = writer_of(fleet, replica, term=None)
-    curio.run(writer.admit, [grant_of(fleet, "job-1", 2)], {"job-1": writer.as_planned("job-1")}, Urgency.STARTS)
+    curio.run(writer.admit, [grant_of(fleet, "job-1", 2)], {"job-1": writer.record_versions("job-1")}, Urgency.STARTS)
     assert replica.committed == []
 
 
@@ -156,12 +156,12 @@
     fleet.view.update()
     writer = writer_of(fleet)
     grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
-    planned = writer.as_planned("job-1")
-    assert writer._stands("job-1", [grant], planned)
+    planned = writer.record_versions("job-1")
+    assert writer._is_still_valid("job-1", [grant], planned)
     for write in writer._job_admission("job-1", [grant]).writes:
         fleet.put(write.key, write.record)
-    assert not writer._stands("job-1", [grant], planned)
-    assert writer._stands("job-1", [], writer.as_planned("job-1"))
+    assert not writer._is_still_valid("job-1", [grant], planned)
+    assert writer._is_still_valid("job-1", [], writer.record_versions("job-1"))
 
 
 def test_a_gang_is_done_once_a_member_is_and_none_is_left_on_a_machine() -> None:
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -28,6 +28,7 @@
     "curio.ssl",
     "sexpdata",
     "spurarch.coordination.leader",
+    "spurarch.coordination.admission.job_admission",
     "spurarch.coordination.admission.plan",
     "spurarch.coordination.admission.planner",
     "spurarch.coordination.admission.planning_state",
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.admission.ledger_audit import ENTRIES_AT_ONCE, PASS_EVERY_S, LedgerAudit
+from spurarch.coordination.admission.ledger_audit import ENTRIES_AT_ONCE, PASS_INTERVAL_S, LedgerAudit
 from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge, QuotaLedger
@@ -195,7 +195,7 @@
             now += 0.1
         assert len(costs) >= jobs * 5 // ENTRIES_AT_ONCE
         most.append(max(costs[:-1]))
-        assert calls(lambda a=audit, n=100.0 + PASS_EVERY_S - 1: a.check_some(n)) < 5  # type: ignore[misc]
+        assert calls(lambda a=audit, n=100.0 + PASS_INTERVAL_S - 1: a.check_some(n)) < 5  # type: ignore[misc]
     assert most[1] < 1.5 * most[0]
 
 
