--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -30,6 +30,7 @@
     "spurarch.coordination.extension",
     "spurarch.coordination.leader",
     "spurarch.coordination.membership.freshness",
+    "spurarch.coordination.admission.job_admission",
     "spurarch.coordination.admission.plan",
     "spurarch.coordination.admission.planner",
     "spurarch.coordination.admission.planning_state",
