--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -31,6 +31,7 @@
 if TYPE_CHECKING:
     from spurarch.coordination.extension import Extension
     from spurarch.coordination.leader import Leader
+    from spurarch.coordination.partition.partition import ArchiveCoverage
 
 log = logging.getLogger(__name__)
 
@@ -80,19 +81,8 @@
         self.stall_detector = StallDetector()
         lag = EventLoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
-        self.owner = PartitionOwner(
-            self.replica,
-            self.membership,
-            self.view,
-            self.cloud,
-            self.reachability,
-            self.stall_detector,
-            lag,
-            deployment,
-            tuning,
-            network,
-            extension.coverage if extension is not None else None,
-        )
+        coverage = extension.coverage if extension is not None else None
+        self.owner = self._create_owner(lag, coverage)
         self.peers = {peer.node: network.back_client(peer.address) for peer in platform.peers}
         self._notifier = PeerNotifier(self.peers)
         self.job_api = JobApi(
@@ -111,6 +101,21 @@
         self._recovery = extension.attach(self) if extension is not None else None
         self._router = RequestRouter(self.job_api, self.owner, self.replica, self.reachability, self._recovery)
 
+    def _create_owner(self, lag: EventLoopLag, coverage: ArchiveCoverage | None) -> PartitionOwner:
+        return PartitionOwner(
+            self.replica,
+            self.membership,
+            self.view,
+            self.cloud,
+            self.reachability,
+            self.stall_detector,
+            lag,
+            self.platform.deployment,
+            self.tuning,
+            self.network,
+            coverage,
+        )
+
     async def run(self) -> None:
         """Serves until cancelled."""
         platform = self.platform
@@ -119,7 +124,7 @@
         tasks = [
             self.network.server(platform.listen, self.handle, connections).run,
             self.network.back_server(platform.back, self.on_frame, PEER_CONNECTIONS).run,
-            self.membership.run_lease,
+            self.membership.lease.run,
             self._start,
             self.replica.run_sync,
             self.owner.run,
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -1,13 +1,15 @@
-"""Which controllers live, which one leads, and which holds which part.
+"""Which controllers live, which one leads, and which partitions this one owns.
 
-Leases of the state service decide *when* to take over; whether it is safe rests on epochs alone: every change of a
-partition's owner raises its epoch, and every transaction of an owner guards the version of its part's record.
+Leases of the state service decide *when* another controller takes over. That this is safe rests on epochs alone: every
+change of a partition's owner raises its epoch, and every transaction of an owner guards the version of the partition's
+record.
 """
 
 from __future__ import annotations
 
 import logging
 import time
+from typing import TYPE_CHECKING
 
 import curio
 
@@ -15,82 +17,56 @@
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import LeaderRecord, MemberRecord, PartitionRecord
 from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionStatus
+from spurarch.storage.store import Store, TransactionResult, TransactionStatus
+
+if TYPE_CHECKING:
+    from spurarch.coordination.membership.partition_assignment import PartitionAssigner
 
 log = logging.getLogger(__name__)
 
-SETTLED_AFTER_S = 4.0
-ISOLATED_S = 60.0
+ISOLATION_S = 60.0  # how long another controller should own a zone whose heartbeats don't come here
+ROUND_INTERVAL_S = 0.05
+COMMIT_TIMEOUT_S = 2.0
+GRANT_RETRY_S = 0.2
+RENEWALS_PER_TTL = 4
 
 
-def starts_gangs(member: MemberRecord) -> bool:
-    """The member's version starts gangs as a whole; earlier ones would start their tasks one by one."""
-    return member.version >= records.GANG_VERSION
+def gangs_supported(members: dict[str, MemberRecord]) -> bool:
+    """Every living controller starts the tasks of a gang together, so whichever leads or owns a partition next will."""
+    return bool(members) and all(member.starts_gangs for member in members.values())
 
 
-def gangs_supported(members: dict[str, MemberRecord]) -> bool:
-    """Every controller that lives starts gangs as a whole, so whichever leads or owns a partition next will."""
-    return bool(members) and all(map(starts_gangs, members.values()))
-
-
-def assign_partitions(
-    zones: list[str],
-    partitions: dict[str, PartitionRecord],
-    members: dict[str, MemberRecord],
-    settled: set[str],
-    gangs: bool = False,
-) -> dict[str, str]:
-    """Parts that should change hands, and to whom.
-
-    A part is a whole zone. It goes to a controller in its own zone if there is one, so that a zone cut off from the
-    others keeps working; else to the living controller with the fewest parts. `settled` are members that have lived
-    long enough to take a part from an owner that is alive. A member that seems not to hear a zone's workers is passed
-    over for that zone, and gives it up, as long as there is another. While `gangs` are on record, members of a version
-    that does not start them as a whole own nothing.
-    """
-    if gangs:
-        members = {node: member for node, member in members.items() if starts_gangs(member)}
-    load = dict.fromkeys(members, 0)
-    for zone in zones:
-        partition = partitions.get(zone)
-        if partition is not None and partition.node in load:
-            load[partition.node] += 1
-    out: dict[str, str] = {}
-    for zone in zones:
-        partition = partitions.get(zone)
-        able = [m for m in members.values() if zone not in m.isolated_zones]
-        if not able and partition is not None and partition.node in members:
-            continue
-        able = able or list(members.values())
-        home = [m.node for m in able if m.area == zone]
-        choice = min(home or [m.node for m in able], key=lambda node: (load[node], node), default=None)
-        if choice is None or (partition is not None and choice == partition.node):
-            continue
-        if partition is not None and partition.node in load and zone not in members[partition.node].isolated_zones:
-            uneven = load[partition.node] > load[choice] + 1
-            if partition.node in home or choice not in settled or not (home or uneven):
-                continue
-            load[partition.node] -= 1
-        load[choice] += 1
-        out[zone] = choice
-    return out
-
-
-def rate_shares(nodes: list[str], owners: list[str], leader: str | None) -> dict[str, tuple[float, float]]:
-    """The controllers' shares of the state service's rates of requests and of changes, by what each has to do.
-
-    Everybody serves users; owners record starts and ends, and the leader admits. The shares of all add up to one as
-    long as they agree on who does what.
-    """
-    weights = {
-        n: (2.0 + owners.count(n) + (n == leader), 2.0 + 4.0 * owners.count(n) + 6.0 * (n == leader)) for n in nodes
-    }
-    requests, writes = (sum(w[i] for w in weights.values()) for i in (0, 1))
-    return {n: (w[0] / requests, w[1] / writes) for n, w in weights.items()}
+class MemberLease:
+    """The lease of the state service that keeps this controller's member record in existence."""
+
+    def __init__(self, store: Store, node: str, ttl_s: float) -> None:
+        self._store, self._node, self._ttl_s = store, node, ttl_s
+        self.id: int | None = None
+
+    def mark_expired(self) -> None:
+        """The state service knows the lease no more: another one is needed."""
+        self.id = None
+
+    async def run(self) -> None:
+        """Obtains and renews the lease until cancelled."""
+        while True:
+            if self.id is None:
+                self.id = await self._store.grant(self._ttl_s)
+                if self.id is None:
+                    await curio.sleep(GRANT_RETRY_S)
+                    continue
+            await curio.sleep(self._ttl_s / RENEWALS_PER_TTL)
+            lease = self.id  # a commit of the member record may have found it expired meanwhile
+            if lease is not None and await self._store.extend(lease) is False:
+                log.info("membership lease expired node=%s", self._node)
+                self.mark_expired()
 
 
 class Membership:
-    """Keeps this controller a member, elects a leader and claims the parts given to this controller."""
+    """Keeps this controller a member, elects a leader, and claims the partitions that are assigned to it.
+
+    `area` is the zone in which this controller runs; `version` says what its process can do.
+    """
 
     def __init__(
         self,
@@ -102,162 +78,132 @@
         ttl_s: float,
         version: int = records.PROGRAM_VERSION,
     ) -> None:
-        self.replica, self.node, self.process_incarnation, self.area = replica, node, process_incarnation, area
-        self.zones, self.ttl_s, self.version = zones, ttl_s, version
+        self._replica, self.node, self._process_incarnation, self._area = replica, node, process_incarnation, area
+        self._zones, self._version = zones, version
         self._wakeup = replica.listen()
-        self._lease: int | None = None
-        self._isolated_until: dict[str, float] = {}
+        self.lease = MemberLease(replica.store, node, ttl_s)
+        self._isolated_until: dict[str, float] = {}  # by zone
         self._unreachable_zones: set[str] = set()
-        self._members_first_seen: dict[str, tuple[str, float]] = {}
+        self._assigner: PartitionAssigner | None = None
 
     @property
     def leading(self) -> bool:
         """This process is the leader on record."""
-        leader = self.replica.state.leader
+        leader = self._replica.state.leader
         return (
-            leader is not None and leader.node == self.node and leader.process_incarnation == self.process_incarnation
+            leader is not None and leader.node == self.node and leader.process_incarnation == self._process_incarnation
         )
 
     @property
     def confirmed_term(self) -> int | None:
-        """The term under which this process leads, by a copy that holds all that was recorded before it; None otherwise.
+        """The term under which this process leads, by a copy that holds all that was recorded before it; else None.
 
         The term is the version of the leader's record. A copy may show that record and yet be older: pages are read one
-        after the other, and the own transaction is known at once. A leader that admits by such a copy passes limits
+        after the other, and the own transaction is known at once. A leader that admits by such a copy exceeds quotas
         (docs/incidents/2026-12-02-team-limit.md).
         """
-        state = self.replica.state
+        state = self._replica.state
         term = state.version(records.LEADER)
-        return term if self.leading and self.replica.consistent and state.revision >= term else None
+        return term if self.leading and self._replica.consistent and state.revision >= term else None
 
     def owned_record(self, zone: str) -> PartitionRecord | None:
-        """The part's record if this process holds it."""
-        partition = self.replica.state.partitions.get(zone)
-        return (
-            partition
-            if partition is not None
-            and partition.node == self.node
-            and partition.process_incarnation == self.process_incarnation
-            else None
-        )
+        """The record of the zone's partition if this process owns it."""
+        partition = self._replica.state.partitions.get(zone)
+        if partition is None or partition.node != self.node:
+            return None
+        return partition if partition.process_incarnation == self._process_incarnation else None
 
     def mark_isolated(self, zone: str, now: float) -> None:
-        """This controller seems cut from the workers of a zone: another one should hold it for a while."""
-        self._isolated_until[zone] = now + ISOLATED_S
+        """The heartbeats of a zone seem not to reach this controller: another one should own it for a while."""
+        self._isolated_until[zone] = now + ISOLATION_S
 
     def set_unreachable(self, zone: str, unreachable: bool) -> None:
-        """Nobody hears the workers of a zone that is held here: it takes no new tasks, and no machines."""
+        """Whether no controller receives the heartbeats of a zone owned here, which then gets no tasks nor machines."""
         if unreachable:
             self._unreachable_zones.add(zone)
         else:
             self._unreachable_zones.discard(zone)
 
-    async def run_lease(self) -> None:
-        """Obtains and renews the lease that says that this controller lives."""
-        while True:
-            if self._lease is None:
-                self._lease = await self.replica.store.grant(self.ttl_s)
-                if self._lease is None:
-                    await curio.sleep(0.2)
-                    continue
-            await curio.sleep(self.ttl_s / 4)
-            lease = self._lease  # the member's own write may have found it ended meanwhile
-            if lease is not None and await self.replica.store.extend(lease) is False:
-                log.info("membership lease expired node=%s", self.node)
-                self._lease = None
-
     async def run(self) -> None:
-        """Keeps membership, leadership and claims up to date."""
+        """Keeps membership, leadership and claims up to date until cancelled."""
         while True:
             try:
-                if self.replica.store.trusted:
-                    await self.claim()
-                if self.replica.loaded and self.replica.store.trusted:
-                    await self._join()
-                    await self._elect()
-                    if self.leading:
-                        await self._assign()
+                await self._update()
             except curio.CancelledError:
                 raise
             except Exception:  # a failure here must not end the controller
                 log.exception("membership round failed")
             await self._wakeup.wait()
             self._wakeup.clear()
-            await curio.sleep(0.05)
+            await curio.sleep(ROUND_INTERVAL_S)
+
+    async def _update(self) -> None:
+        if self._replica.store.trusted:
+            await self.claim()
+        if self._replica.loaded and self._replica.store.trusted:
+            await self._join()
+            await self._elect()
+            if self.leading:
+                await self._assign()
+
+    async def claim(self) -> None:
+        """Raises the epoch of every partition that is assigned to this controller and not yet claimed by this process.
+
+        A process that starts again claims at once: what its predecessor sent carries lower fencing tokens from then on.
+        """
+        for zone, partition in list(self._replica.state.partitions.items()):
+            if partition.node == self.node and partition.process_incarnation != self._process_incarnation:
+                record = PartitionRecord(self.node, partition.epoch + 1, self._process_incarnation)
+                result = await self._commit(Write(records.PARTITION + zone, record))
+                if result.status is TransactionStatus.COMMITTED:
+                    log.info("partition claimed partition=%s epoch=%d", zone, record.epoch)
 
     async def _join(self) -> None:
-        member = self.replica.state.members.get(self.node)
+        """Writes this controller's member record if it is missing or outdated."""
         now = time.monotonic()
-        unfit = sorted(zone for zone, until in self._isolated_until.items() if until > now)
-        dark = sorted(zone for zone in self._unreachable_zones if self.owned_record(zone) is not None)
-        record = MemberRecord(self.node, self.process_incarnation, self.area, unfit, dark, self.version)
-        if self._lease is not None and member != record:
-            result = await self.replica.commit(
-                [Write(records.MEMBER + self.node, record, self._lease)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
-            )
-            if result.status is TransactionStatus.NO_LEASE:
-                self._lease = None
+        isolated = sorted(zone for zone, until in self._isolated_until.items() if until > now)
+        unreachable = sorted(zone for zone in self._unreachable_zones if self.owned_record(zone) is not None)
+        record = MemberRecord(self.node, self._process_incarnation, self._area, isolated, unreachable, self._version)
+        if self.lease.id is not None and self._replica.state.members.get(self.node) != record:
+            await self._commit_with_lease(records.MEMBER + self.node, record)
 
     async def _elect(self) -> None:
-        leader = self.replica.state.leader
-        member = self.replica.state.members.get(self.node)
-        if self._lease is None or member is None or member.process_incarnation != self.process_incarnation:
+        """Makes this controller the leader if it is a member and there is no leader that can go on."""
+        member = self._replica.state.members.get(self.node)
+        joined = member is not None and member.process_incarnation == self._process_incarnation
+        if not joined or self.lease.id is None or not self._leadership_is_vacant():
             return
-        if (
-            leader is None
-            or (leader.node == self.node and leader.process_incarnation != self.process_incarnation)
-            or self._outdated(leader)
-        ):
-            result = await self.replica.commit(
-                [Write(records.LEADER, LeaderRecord(self.node, self.process_incarnation), self._lease)],
-                give_up_s=2.0,
-                urgency=Urgency.MEMBERSHIP,
-            )
-            if result.status is TransactionStatus.COMMITTED:
-                log.info("leadership acquired term=%d revision=%d", result.revision, self.replica.state.revision)
-            elif result.status is TransactionStatus.NO_LEASE:
-                self._lease = None
-
-    def _gangs(self) -> bool:
+        result = await self._commit_with_lease(records.LEADER, LeaderRecord(self.node, self._process_incarnation))
+        if result.status is TransactionStatus.COMMITTED:
+            log.info("leadership acquired term=%d revision=%d", result.revision, self._replica.state.revision)
+
+    def _leadership_is_vacant(self) -> bool:
+        """Nobody leads, or a predecessor of this process, or a version that would start a gang's tasks one by one."""
+        leader = self._replica.state.leader
+        if leader is None:
+            return True
+        if leader.node == self.node and leader.process_incarnation != self._process_incarnation:
+            return True
+        member = self._replica.state.members.get(leader.node)
+        return self._gangs_on_record() and member is not None and not member.starts_gangs
+
+    def _gangs_on_record(self) -> bool:
         """There are gangs on record, and this version knows what that means."""
-        return self.version >= records.GANG_VERSION and self.replica.state.gangs > 0
-
-    def _outdated(self, leader: LeaderRecord) -> bool:
-        """The leader is of a version that would admit the tasks of a gang one by one, and there are gangs."""
-        member = self.replica.state.members.get(leader.node)
-        return self._gangs() and member is not None and not starts_gangs(member)
+        return self._version >= records.GANG_VERSION and self._replica.state.gangs > 0
 
     async def _assign(self) -> None:
-        state, now = self.replica.state, time.monotonic()
-        for node, member in state.members.items():
-            if self._members_first_seen.get(node, ("", 0.0))[0] != member.process_incarnation:
-                self._members_first_seen[node] = member.process_incarnation, now
-        settled = {
-            n for n, (_, at) in self._members_first_seen.items() if n in state.members and now - at >= SETTLED_AFTER_S
-        }
-        for zone, node in assign_partitions(
-            self.zones, state.partitions, state.members, settled, self._gangs()
-        ).items():
-            partition = state.partitions.get(zone)
-            record = PartitionRecord(node, partition.epoch + 1 if partition else 1)
-            log.info("partition assigned partition=%s node=%s epoch=%d", zone, node, record.epoch)
-            await self.replica.commit(
-                [Write(records.PARTITION + zone, record)],
-                guards=[records.LEADER],
-                give_up_s=2.0,
-                urgency=Urgency.MEMBERSHIP,
-            )
+        if self._assigner is None:
+            from spurarch.coordination.membership.partition_assignment import PartitionAssigner
 
-    async def claim(self) -> None:
-        """Raises the epoch of every part that is given to this controller and not yet claimed by this process.
+            self._assigner = PartitionAssigner(self._replica, self._zones)
+        await self._assigner.assign(self._gangs_on_record())
 
-        A process that starts again claims at once: what its predecessor sent carries lower tokens from then on.
-        """
-        for zone, partition in list(self.replica.state.partitions.items()):
-            if partition.node == self.node and partition.process_incarnation != self.process_incarnation:
-                record = PartitionRecord(self.node, partition.epoch + 1, self.process_incarnation)
-                result = await self.replica.commit(
-                    [Write(records.PARTITION + zone, record)], give_up_s=2.0, urgency=Urgency.MEMBERSHIP
-                )
-                if result.status is TransactionStatus.COMMITTED:
-                    log.info("partition claimed partition=%s epoch=%d", zone, record.epoch)
+    async def _commit_with_lease(self, key: str, record: MemberRecord | LeaderRecord) -> TransactionResult:
+        """Writes a record that is deleted when the member lease expires."""
+        result = await self._commit(Write(key, record, self.lease.id))
+        if result.status is TransactionStatus.NO_LEASE:
+            self.lease.mark_expired()
+        return result
+
+    async def _commit(self, write: Write) -> TransactionResult:
+        return await self._replica.commit([write], give_up_s=COMMIT_TIMEOUT_S, urgency=Urgency.MEMBERSHIP)
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -1,20 +1,26 @@
-"""What this controller may still do, by what it knows of its own standing."""
+"""What this controller may do at the moment, by what it knows of its own standing."""
 
 from __future__ import annotations
 
 import time
+from typing import TYPE_CHECKING
 
 from spurarch.coordination.membership.membership import Membership
 from spurarch.coordination.membership.store_reachability import StoreReachability
-from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.runtime.stall_detector import StallDetector
 from spurarch.storage.replica import Replica
 
-FRESH_S = 2.0
+if TYPE_CHECKING:
+    from spurarch.coordination.partition.partition import Partition
+
+FRESH_COPY_S = 2.0
 
 
 class Permissions:
-    """Asked before every answer, command, return and conclusion."""
+    """Asked before every answer, command, release of a machine and conclusion.
+
+    `now` is a time of the monotonic clock; `cancel_s` is the deployment's.
+    """
 
     def __init__(
         self,
@@ -24,52 +30,52 @@
         stall_detector: StallDetector,
         cancel_s: float,
     ) -> None:
-        self.replica, self.membership, self.reachability, self._stall_detector = (
-            replica,
-            membership,
-            reachability,
-            stall_detector,
-        )
+        self.reachability = reachability
+        self._replica, self._membership, self._stall_detector = replica, membership, stall_detector
         self._cancel_s = cancel_s
 
     def may_answer(self, now: float) -> bool:
-        """May keep workers' leases: no cancellation can have been missed for too long."""
-        return self.reachability.may_answer(self.replica.synced_at, now)
+        """May answer heartbeats and so extend workers' leases: no cancellation can have been missed for too long."""
+        return self.reachability.may_answer(self._replica.synced_at, now)
 
     def may_command(self, now: float) -> bool:
-        """May give commands: that, and it did not stand still since the newest word."""
+        """May send commands: it may answer, and the process did not stall since the newest attestation."""
         return self.may_answer(now) and self.is_not_stalled(now)
 
     def is_not_stalled(self, now: float) -> bool:
-        """Not just woken from standing still without a word from anyone since."""
+        """The process has not stalled, or there has been an attestation of freshness since it resumed."""
         return self._stall_detector.confirmed_since_stall(
-            now, self.reachability.freshness_bound(self.replica.synced_at)
+            now, self.reachability.freshness_bound(self._replica.synced_at)
         )
 
     def records_are_fresh(self, now: float) -> bool:
-        """The copy of the records is recent: what only serves placement waits while this controller may be deposed."""
-        return now - self.replica.synced_at < FRESH_S and self.is_not_stalled(now) and self.replica.store.trusted
+        """The copy of the records is recent: what only improves placement waits while another may own the partition."""
+        return now - self._replica.synced_at < FRESH_COPY_S and self.is_not_stalled(now) and self._replica.store.trusted
 
     def owns(self, partition: Partition) -> bool:
-        """The part is still held as it was when this was begun.
+        """The partition is still owned under the epoch under which its state in memory was begun.
 
-        Not by another, and not anew by ourselves, whose earlier knowledge of it would then be as stale as a stranger's.
+        Under a later epoch, even of our own, that state may be outdated: another controller may have owned it meanwhile.
         """
-        record = self.membership.owned_record(partition.zone)
+        record = self._membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
 
     def superseded(self, zone: str) -> bool:
-        """Another holds the zone by now, as a peer says whose copy is newer than ours."""
-        heard, partition = self.reachability.partitions_by_peers.get(zone), self.replica.state.partitions.get(zone)
-        return (
-            heard is not None and heard[0] != self.membership.node and (partition is None or heard[1] > partition.epoch)
-        )
+        """Another controller owns the zone's partition by now, as told by a peer whose copy is newer than ours."""
+        told = self.reachability.partitions_by_peers.get(zone)
+        if told is None or told.node == self._membership.node:
+            return False
+        partition = self._replica.state.partitions.get(zone)
+        return partition is None or told.epoch > partition.epoch
 
     def time_since_cancellation(self, job: str) -> float | None:
-        """Seconds since a job was cancelled, as far as can be told, or None if it is not known to be."""
-        record = self.replica.state.jobs.get(job)
+        """Seconds since a job was cancelled, as far as can be told; None if it is not known to be cancelled.
+
+        For a cancellation on record, this is between 0 and `cancel_s`, and 0 if the record has no time.
+        """
+        record = self._replica.state.jobs.get(job)
         if record is not None and record.cancelled:
-            ago = time.time() - record.cancelled_at if record.cancelled_at > 0 else 0.0
-            return min(max(ago, 0.0), self._cancel_s)
-        told = self.reachability.cancelled_by_peers.get(job)
-        return time.monotonic() - told if told is not None else None
+            elapsed_s = time.time() - record.cancelled_at if record.cancelled_at > 0 else 0.0
+            return min(max(elapsed_s, 0.0), self._cancel_s)
+        told_at = self.reachability.cancelled_by_peers.get(job)
+        return time.monotonic() - told_at if told_at is not None else None
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -1,84 +1,115 @@
 """Whether this controller may still act while it can't reach the state service.
 
 An outage and a refusal of this controller alone look the same from here. Running work should live through both, but a
-cancellation may be confirmed elsewhere meanwhile, and its tasks have to be gone within `cancel_s`. So the owner goes
-on answering reports only while the newest *word* is young enough. A word of time T says that this controller knows
-every cancellation that anybody confirmed before T. It is the newest of
+cancellation may be confirmed elsewhere meanwhile, and its tasks have to be gone within `cancel_s`. So the partition
+owner goes on answering heartbeats only while its newest *attestation of freshness* is young enough. An attestation of
+time T says that this controller knows every cancellation that anybody confirmed before T. The newest one, the
+*freshness bound*, is the latest of
   - the time at which the newest successful read of the state service was sent;
-  - the same of a peer, who passes on all that its copy holds: the time of our ping, less the age of that copy;
-  - the earliest of the latest pings that *every* peer answered as a voucher. A peer's process vouches for what its node
-    confirmed: itself, since its list holds what it confirmed; and its predecessors, if it has read the state service
-    since it started, or started before an earlier word. One that is back within an outage can't vouch: its predecessor
-    may have confirmed a cancellation and ended (docs/incidents/2026-12-02-gap.md).
-Silence alone is no word: that nobody reaches the service now says nothing of what was confirmed before.
-
-The last report answered before `word + cancel_s - lease_s - margin` keeps its worker alive for `lease_s` at most, so
-every task is gone before `word + cancel_s`, and no cancellation was confirmed before `word` without our knowing of it.
+  - the same of a peer, which passes on all that its copy holds: the time of our ping, less the age of that copy;
+  - the earliest of the latest pings that *every* peer answered with an attestation. A peer's process attests to what its
+    node confirmed: to its own confirmations, since its list holds them; and to those of its predecessors, if it has read
+    the state service since it started, or started before an earlier attestation. One that restarted within an outage
+    can't attest: its predecessor may have confirmed a cancellation and ended (docs/incidents/2026-12-02-gap.md).
+Silence attests to nothing: that nobody reaches the service now says nothing of what was confirmed before.
+
+The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` keeps its worker alive for `lease_s`
+at most, so every task is gone before `freshness bound + cancel_s`, and no cancellation was confirmed before the bound
+without our knowing of it.
+
+All times are of the monotonic clock, in seconds.
 """
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from spurarch.protocol import peer_messages
 
-DRIFT = 1.001
-ALIVE_S = 4.0
+CLOCK_DRIFT = 1.001  # how much faster one clock may run than another
+MARGIN_S, MARGIN_SHARE = 1.0, 0.05  # the share is of `cancel_s`
+RESPONSE_VALID_S = 4.0
+NEVER = float("-inf")
+
+
+class KnownOwner(NamedTuple):
+    """Who owns a partition, as a peer told."""
+
+    node: str
+    epoch: int
+
+
+class _PeerResponse(NamedTuple):
+    """The process of a peer that answered last, and when its answer came."""
+
+    process_incarnation: str
+    received_at: float
 
 
 class StoreReachability:
-    """Collects words from the state service and from peers."""
+    """Collects attestations of freshness, and what else peers tell of records that can't be read.
+
+    `peers` are the nodes of all other controllers; `cancel_s` and `lease_s` are the deployment's.
+    """
 
     def __init__(self, peers: list[str], cancel_s: float, lease_s: float) -> None:
-        self._margin = 1.0 + 0.05 * cancel_s
-        self.freshness_limit_s = (cancel_s - lease_s) / DRIFT - self._margin
-        self._attested_at: dict[str, float] = {peer: float("-inf") for peer in peers}
-        self._peer_copy_complete_at = float("-inf")  # a peer's copy that we were told of was complete up to then
-        self._last_responses: dict[str, tuple[str, float]] = {}  # by peer, the process that answered last, and when
-        self.cancelled_by_peers: dict[str, float] = {}  # jobs, and when we were told
-        self.partitions_by_peers: dict[str, tuple[str, int]] = {}
-        self.peer_reached_store_at = float("-inf")
-
-    def on_pong(self, peer: str, sent: float, received: float, answer: peer_messages.Pong, synced_at: float) -> None:
-        """A peer answered a ping sent at `sent`."""
-        self.record_cancelled(answer.cancelled_jobs, received)
+        margin_s = MARGIN_S + MARGIN_SHARE * cancel_s
+        self.freshness_limit_s = (cancel_s - lease_s) / CLOCK_DRIFT - margin_s
+        self._attested_at = dict.fromkeys(peers, NEVER)
+        self._peer_copy_complete_at = NEVER  # the newest copy of a peer whose cancellations were passed on to us
+        self._last_responses: dict[str, _PeerResponse] = {}  # by peer
+        self.cancelled_by_peers: dict[str, float] = {}  # when each job was first told of
+        self.partitions_by_peers: dict[str, KnownOwner] = {}  # by zone, the highest epoch
+        self.peer_reached_store_at = NEVER
+
+    def on_pong(
+        self, peer: str, sent_at: float, received_at: float, answer: peer_messages.Pong, synced_at: float
+    ) -> None:
+        """A peer answered the ping sent at `sent_at`; the newest read of our own was sent at `synced_at`."""
+        self.record_cancelled(answer.cancelled_jobs, received_at)
         for zone, node, epoch in answer.partitions:
-            if epoch > self.partitions_by_peers.get(zone, ("", 0))[1]:
-                self.partitions_by_peers[zone] = node, epoch
-        self._last_responses[peer] = answer.process_incarnation, received
-        before = self.freshness_bound(synced_at)
+            known = self.partitions_by_peers.get(zone)
+            if epoch > (known.epoch if known is not None else 0):
+                self.partitions_by_peers[zone] = KnownOwner(node, epoch)
+        self._last_responses[peer] = _PeerResponse(answer.process_incarnation, received_at)
+        bound_before = self.freshness_bound(synced_at)
         if answer.store_reachable:
-            self.peer_reached_store_at = max(self.peer_reached_store_at, sent)
-            self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent)
+            self.peer_reached_store_at = max(self.peer_reached_store_at, sent_at)
+            self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent_at)
         elif answer.copy_age_s >= 0:
-            self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent - answer.copy_age_s * DRIFT)
-        elif received - answer.uptime_s / DRIFT > before:
+            copied_at = sent_at - answer.copy_age_s * CLOCK_DRIFT
+            self._peer_copy_complete_at = max(self._peer_copy_complete_at, copied_at)
+        elif received_at - answer.uptime_s / CLOCK_DRIFT > bound_before:
             return  # its predecessor may have confirmed what nobody else knows
         if peer in self._attested_at:
-            self._attested_at[peer] = max(self._attested_at[peer], sent)
+            self._attested_at[peer] = max(self._attested_at[peer], sent_at)
 
     def record_cancelled(self, jobs: list[str], now: float) -> None:
-        """Jobs that are cancelled on record, as a peer says."""
+        """A peer told that jobs are cancelled on record."""
         for job_id in jobs:
             self.cancelled_by_peers.setdefault(job_id, now)
 
     def discard_confirmed(self, synced_at: float) -> None:
-        """What we were told of before a read of our own is in our copy."""
+        """Forgets the cancellations told before a read of our own: the copy holds them."""
         if self.cancelled_by_peers:
             self.cancelled_by_peers = {job_id: at for job_id, at in self.cancelled_by_peers.items() if at >= synced_at}
 
     def peer_responds(self, peer: str, now: float, process_incarnation: str | None = None) -> bool:
-        """The peer lives and hears us, and it is that process of it that does."""
-        process, at = self._last_responses.get(peer, ("", float("-inf")))
-        return now - at < ALIVE_S and process_incarnation in (None, process)
+        """The peer has answered a ping lately, and did so by the given process if one is given."""
+        response = self._last_responses.get(peer)
+        if response is None or now - response.received_at >= RESPONSE_VALID_S:
+            return False
+        return process_incarnation in (None, response.process_incarnation)
 
     def outage(self, now: float) -> bool:
-        """A peer is heard and none reaches the state service either: this is no isolation of our own."""
-        heard = any(now - at < ALIVE_S for _, at in self._last_responses.values())
-        return heard and now - self.peer_reached_store_at > ALIVE_S
+        """A peer answers and none reaches the state service either: not this controller alone is cut off."""
+        responding = any(now - response.received_at < RESPONSE_VALID_S for response in self._last_responses.values())
+        return responding and now - self.peer_reached_store_at > RESPONSE_VALID_S
 
     def freshness_bound(self, synced_at: float) -> float:
-        """Time of the newest word."""
-        return max(synced_at, self._peer_copy_complete_at, min(self._attested_at.values(), default=float("-inf")))
+        """Time of the newest attestation: every cancellation confirmed before it is known here."""
+        return max(synced_at, self._peer_copy_complete_at, min(self._attested_at.values(), default=NEVER))
 
     def may_answer(self, synced_at: float, now: float) -> bool:
-        """May answer reports."""
+        """Heartbeats may be answered: no cancellation can have been missed for too long."""
         return now - self.freshness_bound(synced_at) < self.freshness_limit_s
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -102,6 +102,11 @@
     unreachable_zones: list[str] = field(name="dark", default=[])
     version: int = 0
 
+    @property
+    def starts_gangs(self) -> bool:
+        """The member's version starts the tasks of a gang together; earlier ones would start them one by one."""
+        return self.version >= GANG_VERSION
+
 
 class LeaderRecord(Struct):
     """The leading controller."""
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from spurarch.coordination.membership.membership import assign_partitions
+from spurarch.coordination.membership.partition_assignment import assign_partitions
 from spurarch.coordination.membership.store_reachability import StoreReachability
 from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, best_fit
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.membership.membership import assign_partitions, gangs_supported
+from spurarch.coordination.membership.membership import gangs_supported
+from spurarch.coordination.membership.partition_assignment import assign_partitions
 from spurarch.coordination.partition.allocation_changes import merge_changes
 from spurarch.coordination.partition.gang import GangAttempt, Gangs, GangState
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -30,6 +30,7 @@
     "spurarch.coordination.extension",
     "spurarch.coordination.leader",
     "spurarch.coordination.membership.freshness",
+    "spurarch.coordination.membership.partition_assignment",
     "spurarch.coordination.admission.planner",
     "spurarch.coordination.scheduling.placement",
     "spurarch.coordination.scheduling.local_search",
