--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from spurarch import cli
-from spurarch.coordination.api.jobs import JobApi
+from spurarch.coordination.api.jobs import FeasibilityCheck
 from spurarch.protocol import peer_messages, wire
 from spurarch.settings import (
     CloudLimits,
@@ -144,9 +144,9 @@
     view = SimpleNamespace(
         machine_types={name: wire.MachineType(name, 8.0, 0.0, 8.0, 1.0, 1.0, 1.0, ["a"]) for name in names}
     )
-    users = JobApi(None, view, deployment, [], None, None)  # type: ignore[arg-type]
+    feasibility = FeasibilityCheck(view, deployment)  # type: ignore[arg-type]
     spec = wire.submission_decoder.decode(msgspec.json.encode({**GOOD, "builds": names}))
-    refusal = users._validate_feasible(spec)
+    refusal = feasibility.check(spec)
     assert (refusal.status if refusal else None) == status
 
 
