--- a/spurarch/transport/frames.py
+++ b/spurarch/transport/frames.py
@@ -1,4 +1,4 @@
-"""The back channel between controllers: length-prefixed frames, one request and one answer at a time."""
+"""The peer channel between controllers: length-prefixed frames, one request and one answer at a time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from spurarch.transport import sockets
 
-MAX_FRAME = 1024 * 1024  # bytes: peers tell each other of every cancelled job that is not over
+MAX_FRAME = 1024 * 1024  # bytes: peers tell each other of every cancelled job that is not terminal
 IDLE_S = 60.0
 
 
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -28,10 +28,11 @@
 
 READ_SIZE = 16384
 ANSWER_READ_SIZE = 65536  # the state service's answers may be long
-IDLE_SERVER_S = 120.0
+IDLE_CONNECTION_S = 120.0
 SLOW_REQUEST_S = 10.0
 FIRST_REQUEST_S = 2.0  # after this, a connection without a request gives way to a new one
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
+KEEP_ALIVE_S = 20.0  # how long a client keeps an idle connection
 
 
 class NoAnswerError(SpurarchError):
@@ -42,7 +43,7 @@
         self.sent = sent
 
 
-class _ServerLink:
+class _ServerConnection:
     """One connection of the server, and until when its client may take to send more."""
 
     __slots__ = ("began", "idle", "parser", "read_by", "served", "sock", "task")
@@ -55,8 +56,8 @@
         self.idle = False  # it has been answered, and nothing more has come
         self.read_by = float("inf")
 
-    def in_vain(self, now: float) -> bool:
-        """The client connected a while ago and has sent nothing yet."""
+    def is_silent(self, now: float) -> bool:
+        """The client connected a while ago and has sent nothing since."""
         return not self.served and not self.parser.started and now - self.began > FIRST_REQUEST_S
 
 
@@ -70,46 +71,49 @@
     def __init__(self, address: str, handler: Handler, max_connections: int) -> None:
         self._address = sockets.split_address(address)
         self._handler = handler
-        self._max = max_connections
-        self._links: dict[_ServerLink, None] = {}  # in the order of their latest requests
+        self._max_connections = max_connections
+        self._connections: dict[_ServerConnection, None] = {}  # in the order of their latest requests
 
     async def run(self) -> None:
         """Accepts connections until cancelled."""
-        await curio.spawn(self._end_slow, daemon=True)
-        await sockets.serve(self._address, self._converse, self._max, self._end_idlest)
+        sweeper = await curio.spawn(self._end_slow, daemon=True)
+        try:
+            await sockets.serve(self._address, self._serve_connection, self._max_connections, self._end_idlest)
+        finally:
+            await sweeper.cancel()
 
     async def _end_idlest(self) -> None:
-        """Ends a connection without a request first, so that a flood of those costs workers as little as may be."""
+        """Ends one connection; those without a request go first, so that a flood of them costs workers little."""
         now = time.monotonic()
-        silent = (link for link in self._links if link.in_vain(now))
-        idle = (link for link in self._links if link.idle)
-        link = next(silent, None) or next(idle, None)
-        if link is not None:
-            await link.task.cancel()
+        silent = (connection for connection in self._connections if connection.is_silent(now))
+        idle = (connection for connection in self._connections if connection.idle)
+        connection = next(silent, None) or next(idle, None)
+        if connection is not None:
+            await connection.task.cancel()
 
     async def _end_slow(self) -> None:
-        """Ends connections whose clients are late. One timer for all: a limit on each wait costs more than the wait."""
+        """Ends connections whose clients are late. One timer serves all: a timeout costs more than the wait itself."""
         while True:
-            await curio.sleep(SWEEP_S)
+            await curio.sleep(SWEEP_INTERVAL_S)
             now = time.monotonic()
-            for link in [link for link in self._links if link.read_by < now]:
-                await link.task.cancel(blocking=False)
+            for connection in [connection for connection in self._connections if connection.read_by < now]:
+                await connection.task.cancel(blocking=False)
 
-    async def _converse(self, sock: curio.io.Socket) -> None:
-        link = _ServerLink(sock, await curio.current_task())
-        self._links[link] = None
+    async def _serve_connection(self, sock: curio.io.Socket) -> None:
+        connection = _ServerConnection(sock, await curio.current_task())
+        self._connections[connection] = None
         try:
-            while (request := await self._read(link)) is not None:
+            while (request := await self._read(connection)) is not None:
                 response = await self._handle(request)
-                await sock.sendall(render_response(response, link.parser.closing, request.method == "HEAD"))
-                if link.parser.closing:
+                await sock.sendall(render_response(response, connection.parser.closing, request.method == "HEAD"))
+                if connection.parser.closing:
                     return
-                link.idle = True
-                self._links[link] = self._links.pop(link)
+                connection.idle = True
+                self._connections[connection] = self._connections.pop(connection)
         except MessageError as err:
             await sock.sendall(render_response(err.response, close=True))
         finally:
-            del self._links[link]
+            del self._connections[connection]
 
     async def _handle(self, request: Request) -> Response:
         try:
@@ -120,23 +124,23 @@
             log.exception("request failed method=%s target=%s", request.method, request.target)
             return error_response(500, "internal error")
 
-    async def _read(self, link: _ServerLink) -> Request | None:
+    async def _read(self, connection: _ServerConnection) -> Request | None:
         """The next request, or None if the client has closed the connection."""
-        parser, sock = link.parser, link.sock
+        parser, sock = connection.parser, connection.sock
         request = parser.next_request()
         if request is not None:
-            link.idle = False
+            connection.idle = False
             return request
-        link.read_by = time.monotonic() + (IDLE_SERVER_S if link.served else SLOW_REQUEST_S)
+        connection.read_by = time.monotonic() + (IDLE_CONNECTION_S if connection.served else SLOW_REQUEST_S)
         data = await sock.recv(READ_SIZE)
-        link.idle = False
-        link.read_by = time.monotonic() + SLOW_REQUEST_S
+        connection.idle = False
+        connection.read_by = time.monotonic() + SLOW_REQUEST_S
         while data:
             parser.feed(data)
             request = parser.next_request()
             if request is not None:
-                link.served = True
-                link.read_by = float("inf")
+                connection.served = True
+                connection.read_by = float("inf")
                 return request
             if parser.wants_continue():
                 await sock.sendall(CONTINUE)
@@ -146,7 +150,7 @@
         return None
 
 
-class _Pooled:
+class _PooledConnection:
     """One kept connection of a client."""
 
     __slots__ = ("idle_since", "sock")
@@ -156,16 +160,23 @@
         self.idle_since = 0.0
 
 
+class _RequestProgress:
+    """Whether some of a request may have left this process."""
+
+    __slots__ = ("sent",)
+
+    def __init__(self) -> None:
+        self.sent = False
+
+
 class HttpClient:
     """A client of one address with a few kept connections and a limit on every wait."""
 
-    KEEP_S = 20.0
-
     def __init__(self, address: str, max_connections: int = 8, connect_s: float = 1.0) -> None:
         self._address = sockets.split_address(address)
         self._host = address
         self._connect_s = connect_s
-        self._idle: list[_Pooled] = []
+        self._idle: list[_PooledConnection] = []
         self._slots = curio.Semaphore(max_connections)
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
@@ -174,41 +185,41 @@
             message = render_request(method, self._host, target, body)
         except ValueError as err:
             raise NoAnswerError(str(err), False) from None
-        state = [False]
+        progress = _RequestProgress()
         try:
             async with curio.timeout_after(timeout_s), self._slots:
-                return await self._exchange(message, state)
+                return await self._exchange(message, progress)
         except curio.TaskTimeout:
-            raise NoAnswerError("timed out", state[0]) from None
+            raise NoAnswerError("timed out", progress.sent) from None
         except OSError as err:
-            raise NoAnswerError(repr(err), state[0]) from None
+            raise NoAnswerError(repr(err), progress.sent) from None
 
     async def aclose(self) -> None:
         """Closes the kept connections, once no request is under way."""
         while self._idle:
             await self._idle.pop().sock.close()
 
-    async def _exchange(self, message: bytes, state: list[bool]) -> tuple[int, bytes]:
-        link = await self._take()
+    async def _exchange(self, message: bytes, progress: _RequestProgress) -> tuple[int, bytes]:
+        connection = await self._acquire()
         parser = ResponseParser()
         try:
-            state[0] = True
-            await link.sock.sendall(message)
+            progress.sent = True
+            await connection.sock.sendall(message)
             while not parser.complete:
-                parser.feed(await link.sock.recv(ANSWER_READ_SIZE))
+                parser.feed(await connection.sock.recv(ANSWER_READ_SIZE))
             return parser.status, parser.body
         finally:
             if parser.keep_alive:
-                link.idle_since = time.monotonic()
-                self._idle.append(link)
+                connection.idle_since = time.monotonic()
+                self._idle.append(connection)
             else:
-                await link.sock.close()
+                await connection.sock.close()
 
-    async def _take(self) -> _Pooled:
+    async def _acquire(self) -> _PooledConnection:
         now = time.monotonic()
         while self._idle:
-            link = self._idle.pop()
-            if now - link.idle_since < self.KEEP_S:
-                return link
-            await link.sock.close()
-        return _Pooled(await sockets.connect(self._address, self._connect_s))
+            connection = self._idle.pop()
+            if now - connection.idle_since < KEEP_ALIVE_S:
+                return connection
+            await connection.sock.close()
+        return _PooledConnection(await sockets.connect(self._address, self._connect_s))
--- a/spurarch/transport/sockets.py
+++ b/spurarch/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Opening and accepting connections. Addresses are numbers: there are no name look-ups to wait for."""
+"""Opening and accepting TCP connections. Addresses are numeric, so no name look-up has to be waited for."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 ACCEPT_PAUSE_S = 0.05
 BACKLOG = 8192  # all workers of a fleet may come back in the same second; the system may allow fewer
 
+ConnectionHandler = Callable[[curio.io.Socket], Awaitable[None]]
+
 
 def split_address(address: str) -> tuple[str, int]:
     """Splits "10.0.0.1:8080"."""
@@ -34,17 +36,17 @@
     return sock
 
 
-async def _no_room() -> None:
+async def _close_none() -> None:
     """Closes no connection for a new one."""
 
 
 async def serve(
     address: tuple[str, int],
-    client: Callable[[curio.io.Socket], Awaitable[None]],
+    handle_connection: ConnectionHandler,
     max_open: int,
-    make_room: Callable[[], Awaitable[None]] = _no_room,
+    make_room: Callable[[], Awaitable[None]] = _close_none,
 ) -> None:
-    """Accepts connections until cancelled, a task for each.
+    """Accepts connections until cancelled, and handles each in a task of its own, which ends with this call.
 
     Running out of sockets only pauses the accepting: curio's own server would end there, and with it the
     controller. At the bound `make_room` may close a connection that nobody waits for; a new one for which there is
@@ -54,28 +56,49 @@
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind(address)
     listener.listen(BACKLOG)
-    open_now = 0
-
-    async def attend(sock: curio.io.Socket) -> None:
-        nonlocal open_now
-        open_now += 1
+    acceptor = _Acceptor(listener, handle_connection, max_open, make_room)
+    # The address is free again at the end: a controller that starts again after a recovery listens there once more.
+    async with listener:
         try:
-            await client(sock)
-        except (OSError, curio.TaskTimeout) as err:
-            log.debug("connection ended error=%r", err)
-        except curio.CancelledError:
-            raise
-        except Exception:  # whatever a client sends must not end the controller
-            log.exception("connection handler failed")
+            await acceptor.run()
         finally:
-            open_now -= 1
-            await sock.close()
+            await acceptor.cancel_connections()
+
+
+class _Acceptor:
+    """Accepts the connections of one listening socket, and owns the tasks that handle them."""
+
+    def __init__(
+        self,
+        listener: curio.io.Socket,
+        handle_connection: ConnectionHandler,
+        max_open: int,
+        make_room: Callable[[], Awaitable[None]],
+    ) -> None:
+        self._listener, self._handle_connection = listener, handle_connection
+        self._max_open, self._make_room = max_open, make_room
+        self._open_count = 0
+        self._tasks: set[curio.Task] = set()
+
+    async def run(self) -> None:
+        """Accepts until cancelled."""
+        while True:
+            try:
+                await self._accept()
+            except OSError as err:
+                log.warning("accept failed error=%s", err)
+                await curio.sleep(ACCEPT_PAUSE_S)
+
+    async def cancel_connections(self) -> None:
+        """Ends the tasks of all connections, which close their sockets."""
+        for task in tuple(self._tasks):
+            await task.cancel()
 
-    async def accept_one() -> None:
-        sock, _ = await listener.accept()
-        if open_now >= max_open:
-            await make_room()
-        if open_now >= max_open:
+    async def _accept(self) -> None:
+        sock, _ = await self._listener.accept()
+        if self._open_count >= self._max_open:
+            await self._make_room()
+        if self._open_count >= self._max_open:
             await sock.close()
             return
         try:
@@ -83,13 +106,19 @@
         except OSError:
             await sock.close()
             return
-        await curio.spawn(attend, sock, daemon=True)
+        self._tasks.add(await curio.spawn(self._handle, sock, daemon=True))
 
-    # The address is free again at the end: a controller that begins anew after a recovery listens there once more.
-    async with listener:
-        while True:
-            try:
-                await accept_one()
-            except OSError as err:
-                log.warning("accept failed error=%s", err)
-                await curio.sleep(ACCEPT_PAUSE_S)
+    async def _handle(self, sock: curio.io.Socket) -> None:
+        self._open_count += 1
+        try:
+            await self._handle_connection(sock)
+        except (OSError, curio.TaskTimeout) as err:
+            log.debug("connection ended error=%r", err)
+        except curio.CancelledError:
+            raise
+        except Exception:  # whatever a client sends must not end the controller
+            log.exception("connection handler failed")
+        finally:
+            self._open_count -= 1
+            self._tasks.discard(await curio.current_task())
+            await sock.close()
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize(
     ("pieces", "limit_s"),
-    [([HEAD], http.SLOW_REQUEST_S), ([HEAD + b"\r\n"], http.IDLE_SERVER_S), ([], http.SLOW_REQUEST_S)],
+    [([HEAD], http.SLOW_REQUEST_S), ([HEAD + b"\r\n"], http.IDLE_CONNECTION_S), ([], http.SLOW_REQUEST_S)],
 )
 def test_a_client_that_is_late_is_ended_and_a_slow_handler_is_not(pieces: list[bytes], limit_s: float) -> None:
     clock, ended = Clock(), 0.0
@@ -161,16 +161,16 @@
         nonlocal ended
         sock, server = StandInSocket(*pieces), HttpServer("127.0.0.1:1", slow, 10)
         await curio.spawn(server._end_slow, daemon=True)
-        task = await curio.spawn(server._converse, sock, daemon=True)
+        task = await curio.spawn(server._serve_connection, sock, daemon=True)
         began = clock.now
         await task.wait()
         ended = clock.now - began
         assert bool(sock.sent) is (pieces == [HEAD + b"\r\n"])
-        assert not server._links
+        assert not server._connections
 
     clock.run(main)
     handled_s = 20 * http.SLOW_REQUEST_S if pieces == [HEAD + b"\r\n"] else 0.0
-    assert limit_s <= ended - handled_s <= limit_s + 2 * http.SWEEP_S
+    assert limit_s <= ended - handled_s <= limit_s + 2 * http.SWEEP_INTERVAL_S
 
 
 def test_with_more_workers_than_connections_the_idlest_gives_way() -> None:
@@ -191,15 +191,15 @@
         server = HttpServer("127.0.0.1:1", handle, most)
         tasks = []
         busy = Worker(HEAD)  # half a request: nobody's place to take
-        tasks.append(await curio.spawn(server._converse, busy, daemon=True))
+        tasks.append(await curio.spawn(server._serve_connection, busy, daemon=True))
         await curio.sleep(0)
         for _ in range(workers):
-            if len(server._links) >= most:
+            if len(server._connections) >= most:
                 await server._end_idlest()
                 ended += 1
-            tasks.append(await curio.spawn(server._converse, Worker(HEAD + b"\r\n"), daemon=True))
+            tasks.append(await curio.spawn(server._serve_connection, Worker(HEAD + b"\r\n"), daemon=True))
             await curio.sleep(0.001)
-            assert len(server._links) <= most
+            assert len(server._connections) <= most
         assert not tasks[0].terminated
         assert [task.terminated for task in tasks[1:]] == [True] * (workers - most + 1) + [False] * (most - 1)
 
@@ -216,8 +216,10 @@
 
     async def main() -> None:
         server = HttpServer("127.0.0.1:1", handle, most)
-        workers = [await curio.spawn(server._converse, StandInSocket(HEAD + b"\r\n"), daemon=True) for _ in range(30)]
-        silent = [await curio.spawn(server._converse, StandInSocket(), daemon=True) for _ in range(10)]
+        workers = [
+            await curio.spawn(server._serve_connection, StandInSocket(HEAD + b"\r\n"), daemon=True) for _ in range(30)
+        ]
+        silent = [await curio.spawn(server._serve_connection, StandInSocket(), daemon=True) for _ in range(10)]
         await curio.sleep(http.FIRST_REQUEST_S + 0.1)
         for _ in range(10):
             await server._end_idlest()
