--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+import enum
 import logging
 import os
 import sys
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from spurarch import __version__
 from spurarch.settings import Platform, SettingsError, Tuning, load_platform, load_tuning
@@ -16,10 +17,19 @@
     from spurarch.coordination.controller import Controller
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-USAGE, FAILED = 2, 1
+REQUEST_TIMEOUT_S = 5.0
+FIRST_ERROR_STATUS = 400
 GC_ALLOCATIONS = 20_000
 
 
+class ExitCode(enum.IntEnum):
+    """Exit codes of all commands."""
+
+    SUCCESS = 0
+    FAILED = 1
+    USAGE = 2
+
+
 def build_parser() -> argparse.ArgumentParser:
     """The parser of all commands. Without a command, `--config FILE` serves."""
     import argparse
@@ -65,11 +75,11 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Runs a command; returns its exit code."""
-    words = sys.argv[1:] if argv is None else argv
-    if len(words) == 2 and words[0] == "--config":
-        return _run(None, words[1], None)  # as the platform starts a controller: no parser has to be built for that
+    arguments = sys.argv[1:] if argv is None else argv
+    if len(arguments) == 2 and arguments[0] == "--config":
+        return _run(None, arguments[1], None)  # as the platform starts a controller: no parser has to be built for that
     parser = build_parser()
-    args = parser.parse_args(words)
+    args = parser.parse_args(arguments)
     if args.command in ("submit", "show", "cancel"):
         return _request(args)
     if args.command in ("archive", "recovery"):
@@ -86,10 +96,10 @@
         level = _level()
     except SettingsError as err:
         print(f"spurarch: {err}", file=sys.stderr)
-        return USAGE
+        return ExitCode.USAGE
     if command == "check":
         print("settings are good")
-        return 0
+        return ExitCode.SUCCESS
     if command == "settings":
         return _print_settings(platform, tuning)
     return _serve(platform, tuning, level)
@@ -124,7 +134,7 @@
 
     import curio
 
-    # Records live long and form no cycles; looking through all of them over and over is a large part of the processor.
+    # Records live long and form no cycles; scanning all of them over and over would take much processor time.
     gc.set_threshold(GC_ALLOCATIONS, 20, 50)
     gc.freeze()
     gc.enable()
@@ -134,11 +144,11 @@
             _serve_with_recovery(platform, tuning)
         curio.run(controller(platform, tuning).run)
     except KeyboardInterrupt:
-        return 0
+        return ExitCode.SUCCESS
     except OSError as err:
         print(f"spurarch: {err}", file=sys.stderr)
-        return FAILED
-    return FAILED
+        return ExitCode.FAILED
+    return ExitCode.FAILED
 
 
 def _operate(args: argparse.Namespace) -> int:
@@ -170,7 +180,7 @@
     print(msgspec.json.format(msgspec.json.encode(platform)).decode())
     values = msgspec.to_builtins(tuning)
     print(sexpdata.dumps([[sexpdata.Symbol(name), value] for name, value in values.items()]))
-    return 0
+    return ExitCode.SUCCESS
 
 
 def _read_submission(path: str) -> bytes:
@@ -181,34 +191,50 @@
         return file.read()
 
 
+class _UserRequest(NamedTuple):
+    """An HTTP request that a command makes on behalf of a user."""
+
+    method: str
+    target: str
+    body: bytes | None
+
+
+def _user_request(args: argparse.Namespace) -> _UserRequest:
+    """The request of a command; raises OSError if its file can't be read."""
+    from spurarch.protocol import wire
+
+    if args.command == "submit":
+        return _UserRequest("POST", wire.PATH_JOBS, _read_submission(args.file))
+    if args.command == "show":
+        return _UserRequest("GET", f"{wire.PATH_JOBS}/{args.ref}", None)
+    return _UserRequest("POST", f"{wire.PATH_JOBS}/{args.ref}/{wire.PATH_CANCEL}", b"{}")
+
+
 def _request(args: argparse.Namespace) -> int:
+    """Sends a user's request to a controller and prints the answer."""
     import curio
 
-    from spurarch.protocol import wire
     from spurarch.transport.http import HttpClient, NoAnswerError
 
-    body: bytes | None = None
-    if args.command == "submit":
-        try:
-            body = _read_submission(args.file)
-        except OSError as err:
-            print(f"spurarch: {args.file}: {err.strerror}", file=sys.stderr)
-            return USAGE
-        method, target = "POST", wire.PATH_JOBS
-    elif args.command == "show":
-        method, target = "GET", f"{wire.PATH_JOBS}/{args.ref}"
-    else:
-        method, target, body = "POST", f"{wire.PATH_JOBS}/{args.ref}/{wire.PATH_CANCEL}", b"{}"
+    try:
+        request = _user_request(args)
+    except OSError as err:
+        print(f"spurarch: {args.file}: {err.strerror}", file=sys.stderr)
+        return ExitCode.USAGE
 
     async def call() -> tuple[int, bytes]:
-        return await HttpClient(args.node).request(method, target, body, 5.0)
+        client = HttpClient(args.node)
+        try:
+            return await client.request(request.method, request.target, request.body, REQUEST_TIMEOUT_S)
+        finally:
+            await client.aclose()
 
     try:
         status, answer = curio.run(call)
     except (NoAnswerError, ValueError) as err:
         print(f"spurarch: {args.node}: {err}", file=sys.stderr)
-        return FAILED
+        return ExitCode.FAILED
     print(answer.decode(errors="replace"))
-    if status >= 400:
+    if status >= FIRST_ERROR_STATUS:
         print(f"spurarch: status {status}", file=sys.stderr)
-    return 0 if status < 400 else FAILED
+    return ExitCode.SUCCESS if status < FIRST_ERROR_STATUS else ExitCode.FAILED
