--- a/spurarch/coordination/runtime/invariants.py
+++ b/spurarch/coordination/runtime/invariants.py
@@ -1,4 +1,4 @@
-"""Counts what must never be so. The controller goes on; tests and operators look at the count and the lines of log."""
+"""Counts violations of invariants. The controller goes on; tests and operators look at the count and the log."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class InvariantViolations:
-    """Violated invariants of this process."""
+    """The violations found by this process."""
 
     def __init__(self) -> None:
         self.messages: list[str] = []
         self.count = 0
 
     def record(self, text: str) -> None:
-        """Notes one."""
+        """Counts a violation and logs it, up to a number of lines."""
         self.count += 1
         if self.count <= LOGGED_MOST:
             self.messages.append(text)
--- a/spurarch/coordination/runtime/round_budget.py
+++ b/spurarch/coordination/runtime/round_budget.py
@@ -1,18 +1,18 @@
-"""How long one round of decisions may take, and how long it rests after it, on a share of a processor."""
+"""How long one decision round may take, and how long to pause after it, on a share of a processor."""
 
 from __future__ import annotations
 
 import time
 
-LONGEST_S = 0.05  # whatever waits in the event loop, workers' reports among it, waits for no longer
+LONGEST_S = 0.05  # whatever waits in the event loop, heartbeats among it, waits no longer
 
 
 class RoundBudget:
-    """Tells a round when to stop; the next one goes on from there.
+    """Tells a round when to stop; the next round continues from there.
 
-    The budget is processor time: on a share of a core it lasts as much longer on the clock, up to `LONGEST_S`. It counts
-    from the first question. What every round has to do before its first decision is not counted, or else a slow
-    controller would spend all of its rounds on that and never decide anything.
+    The budget is processor time: on a share of a core it lasts accordingly longer on the clock, up to `LONGEST_S`. It
+    starts with the first call of `spent`. What every round has to do before its first decision is not counted, or else a
+    slow controller would spend all of its rounds on that and never decide anything.
     """
 
     def __init__(self, processor_s: float, share: float) -> None:
@@ -28,5 +28,5 @@
 
 
 def rest_s(took_s: float, share: float, factor: float, least_s: float) -> float:
-    """How long a round that took so long by the clock is followed by none: `factor` times its processor time."""
+    """Seconds to pause after a round that took `took_s` on the clock: `factor` times its processor time."""
     return max(least_s, factor * took_s * min(1.0, share))
--- a/spurarch/protocol/peer_messages.py
+++ b/spurarch/protocol/peer_messages.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other: tagged tuples over MessagePack. All of it may be lost without harm."""
+"""Messages between controllers: tagged tuples in MessagePack. Any of them may be lost without harm."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 class Ping(Struct, tag="ping", array_like=True):
-    """Asks whether the receiver reaches the state service, and for news while the sender may not."""
+    """Asks whether the receiver reaches the state service, and for what it knows, since the sender may be cut off."""
 
     node: str
 
 
 class Pong(Struct, tag="pong", array_like=True):
-    """Answer to a ping, with all that the sender knows to be cancelled and who holds which part.
+    """Answer to a ping, with all that the sender knows to be cancelled, and who owns which partition.
 
-    With `reaches`, the lists are as new as the ping. Without, they are complete up to `age_s` ago, and hold whatever the
-    sender's own process confirmed since; an `age_s` below zero says that it has never read the state service (an older
-    version leaves it out, and its lists with it). `up_s` is how long the process has run.
+    `partitions` are zone, owner's node and epoch. With `store_reachable`, the lists are as new as the ping. Without, they
+    are complete up to `copy_age_s` ago, and hold whatever the sender's own process confirmed since; a `copy_age_s` below
+    zero says that it has never read the state service (an older version leaves it out, and its lists with it).
+    `uptime_s` is how long the process has run.
     """
 
     node: str
@@ -40,11 +41,12 @@
 
 
 class Load(Struct, tag="load", array_like=True):
-    """Changes a second that the sender made of late, and whether more wait in line: rates are lent by this.
+    """The sender's recent writes per second, and whether more are queued: unused shares of rates are lent by this.
 
-    `strangers` are the workers that reported to the sender in the last seconds though another holds their zone, `returned`
-    machines that it gave back to the cloud and that are still on record. `writes_refused` counts the transactions that the
-    state service refused it for their rate (an older version leaves it out, and passes it over).
+    `unregistered_machines` counts, by zone, the workers that sent heartbeats to the sender in the last seconds though
+    another controller owns their zone. `released_machines` are those that it released and that are still on record.
+    `throttled_writes` counts the transactions that the state service refused it for their rate (an older version leaves it
+    out, and ignores it).
     """
 
     node: str
@@ -64,7 +66,7 @@
 def decode(frame: bytes) -> PeerMessage | None:
     """A peer's frame, or None if it can't be read."""
     try:
-        hint: PeerMessage = _decoder.decode(frame)
-        return hint
+        message: PeerMessage = _decoder.decode(frame)
+        return message
     except msgspec.DecodeError:
         return None
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -1,6 +1,6 @@
-"""What controllers tell each other while the state service's data is rebuilt: tagged tuples over MessagePack.
+"""Messages between controllers while the state service's data is rebuilt: tagged tuples in MessagePack.
 
-A controller of a version that knows no recovery can't read them, which is how it is told from others.
+A controller of a version without recovery can't read them, by which the others recognize it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RevisionAnswer(Struct, tag="revision", array_like=True):
-    """The history that the sender works in, or worked in; an empty name if it knows none."""
+    """The history that the sender works in, or last worked in; the name is empty if it knows none."""
 
     node: str
     history: str
@@ -61,7 +61,7 @@
 
 
 class HeartbeatsRequest(Struct, tag="reports?", array_like=True):
-    """Asks for workers' reports that came after so many others, in answer to the token of an epoch."""
+    """Asks for the heartbeats after the first `after` ones that answered a fencing token of an epoch."""
 
     node: str
     epoch: int
@@ -69,7 +69,7 @@
 
 
 class HeartbeatsPage(Struct, tag="reports", array_like=True):
-    """Newest reports of workers, how many have come so far, and the highest partition epoch that any worker showed."""
+    """The newest heartbeats, how many have come so far, and the highest partition epoch that any worker showed."""
 
     heartbeats: list[Heartbeat]
     position: int
--- a/spurarch/protocol/wire.py
+++ b/spurarch/protocol/wire.py
@@ -1,6 +1,6 @@
-"""Messages of the published protocols. The names on the wire stand here and nowhere else.
+"""Messages of the published protocols, and the only place that knows their names on the wire.
 
-The rest of the code uses the field's own terms; `rename` maps them to the platform's words.
+The rest of the code uses common terms; the field names given here map them to the platform's words.
 """
 
 from __future__ import annotations
@@ -74,13 +74,13 @@
 
 
 class SubmittedTeam(Struct):
-    """As much of a submission as says whose it is, for records that can't be read otherwise."""
+    """The team of a submission, for records that can't be read otherwise."""
 
     team: str = field(name="crew")
 
 
 class JobState(Struct, omit_defaults=True):
-    """What users are told of a job."""
+    """A job's state, as answered to users; counts are of tasks."""
 
     id: str = field(name="ref")
     state: str = field(name="standing")
@@ -89,7 +89,7 @@
 
 
 class TaskStatus(Struct):
-    """One task in a worker's report."""
+    """One task attempt in a heartbeat."""
 
     task: Name = field(name="leg")
     attempt: Count = field(name="try")
@@ -99,7 +99,7 @@
 
 
 class Heartbeat(Struct):
-    """A worker's report."""
+    """A worker's heartbeat."""
 
     machine: Name = field(name="croft")
     addr: Name
@@ -114,7 +114,7 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """One order to a worker."""
+    """One command to a worker."""
 
     op: str = field(name="verb")
     task: str = field(name="leg")
@@ -123,20 +123,20 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a report."""
+    """The answer to a heartbeat."""
 
     fencing_token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Sends a worker to the controller that holds its machine."""
+    """Redirects a worker to the controller that owns its partition."""
 
     node: str | None = field(name="steward", default=None)
 
 
 class DirectCommands(Struct):
-    """Orders sent to a worker's own address."""
+    """Commands sent to a worker's own address."""
 
     fencing_token: int = field(name="baton")
     incarnation: int = field(name="tenure")
@@ -175,7 +175,7 @@
 
 
 class MachineNames(Struct):
-    """Names of machines: rented, or to be returned."""
+    """Names of machines: rented by a scale-out, or to be released."""
 
     machines: list[str] = field(name="crofts")
 
@@ -268,7 +268,7 @@
 
 
 class GrantRequest(Struct):
-    """Asks the state service for a lease."""
+    """A request to the state service for a lease."""
 
     ttl_ms: int = field(name="life_ms")
 
@@ -299,12 +299,12 @@
 
 
 def query(**fields: object) -> str:
-    """Query string of the state service's and the cloud's calls."""
+    """Query string of a call to the state service or the cloud; None leaves a parameter out."""
     names = {"prefix": "prefix", "after": "from", "limit": "most", "wait_ms": "wait_ms"}
-    return "&".join(f"{names[k]}={v}" for k, v in fields.items() if v is not None)
+    return "&".join(f"{names[name]}={value}" for name, value in fields.items() if value is not None)
 
 
-TASK_NAMES_KEPT = 16_384  # split once: every report names all tasks of a machine
+TASK_NAMES_KEPT = 16_384  # split once: every heartbeat names all tasks of a machine
 
 
 def task_name(job: str, index: int) -> str:
@@ -314,7 +314,7 @@
 
 @lru_cache(TASK_NAMES_KEPT)
 def split_task(name: str) -> tuple[str, int] | None:
-    """Job and index of a task's name, or None if it isn't one."""
+    """Job and index of a task by its name, or None if the name is malformed."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 6:
         return None
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's TOML, and the operators' own choices as S-expressions. Both are checked on reading."""
+"""Settings: the platform's file (TOML) and the operators' tuning file (S-expressions), validated on reading."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Team(Struct):
-    """What a team is guaranteed and what it may use at most; 0 means none."""
+    """A team's guaranteed resources and its quota, in CPUs and GPUs; 0 means none."""
 
     name: str
     guaranteed_cpus: NotNegative = field(name="cpus", default=0.0)
@@ -33,7 +33,7 @@
 
 
 class Objective(Struct):
-    """An aim that users stated for a class of jobs."""
+    """A service-level objective for a class of jobs; kinds that this version doesn't know are ignored."""
 
     kind: str
     job_class: str | None = field(name="class", default=None)
@@ -43,7 +43,7 @@
 
 
 class Workers(Struct):
-    """How workers report."""
+    """Intervals and timeouts of workers: heartbeats, leases, cancellations and gangs."""
 
     heartbeat_interval_s: Positive = field(name="report_s")
     lease_s: Positive
@@ -53,7 +53,7 @@
 
 
 class NextStateLimits(Struct):
-    """Limits that the state service will have from some unannounced moment on; what is absent stays as it is."""
+    """Limits that the state service will apply from an unannounced moment on; an absent limit stays as it is."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -68,8 +68,8 @@
 class StateLimits(Struct):
     """Published limits of the state service.
 
-    Sizes must never exceed what is allowed now or later, since the change comes without notice; rates start from what is
-    allowed now and follow the service's refusals down to what is allowed later.
+    The change to the `next` limits comes without notice. So sizes never exceed the lower of both, while rates start from
+    the present limit and follow the service's refusals down to the later one.
     """
 
     rps: Positive
@@ -95,12 +95,12 @@
 
     @property
     def lowest_rps(self) -> float:
-        """The rate of requests that the service will allow at least."""
+        """The rate of requests that the service will allow in any case, per second."""
         return _lower(self.rps, self.next.rps if self.next else None)
 
     @property
     def lowest_write_rps(self) -> float:
-        """The rate of changes that the service will allow at least."""
+        """The rate of changes that the service will allow in any case, per second."""
         return _lower(self.write_rps, self.next.write_rps if self.next else None)
 
 
@@ -111,21 +111,21 @@
     list_lag_s: NotNegative
 
 
-# Below the first, a controller can't work at all; below the second, it serves, though not as it should.
+# Below the first, a controller can't work at all; below the second, it serves, but less well than it should.
 PROCESSOR_LEAST, PROCESSOR_SCARCE = 0.02, 0.1  # of a core: an idle controller takes about 0.02
 MEMORY_LEAST_MB, MEMORY_SCARCE_MB = 20.0, 64.0  # started, a controller holds 16 MB; 680 machines took up to 44
 SOCKETS_LEAST, SOCKETS_SCARCE = 32, 256
 
 
 class Limits(Struct):
-    """What one controller may use."""
+    """Resources that one controller may use."""
 
     cpu: Annotated[float, Meta(ge=PROCESSOR_LEAST)] = 1.0
     memory_mb: Annotated[float, Meta(ge=MEMORY_LEAST_MB)] = field(name="mem_mb", default=256.0)
     sockets: Annotated[int, Meta(ge=SOCKETS_LEAST)] = field(name="fd_limit", default=1024)
 
     def scarce(self) -> list[str]:
-        """The fields that allow a controller to run, but less well than it should, each with the least it should have."""
+        """The fields below what a controller needs to run well, each with that minimum."""
         wanted = {
             "cpu": (self.cpu, PROCESSOR_SCARCE),
             "mem_mb": (self.memory_mb, MEMORY_SCARCE_MB),
@@ -157,14 +157,14 @@
 
 
 class External(Struct):
-    """Outside systems."""
+    """Addresses of the systems that a controller uses."""
 
     cloud: Address
     state: Address
 
 
 class Platform(Struct):
-    """The file that the platform hands over. Unknown fields are ignored."""
+    """The platform's settings file. Unknown fields are ignored."""
 
     node: Text
     area: str
