--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.admission.plan import AdmissionGrant
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import QuotaReservation
 from spurarch.coordination.membership.membership import Membership
@@ -17,8 +17,8 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, TaskEntry
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import TransactionResult, TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -18,10 +18,11 @@
 from spurarch.protocol import wire
 from spurarch.settings import Deployment, Team
 from spurarch.storage import records
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import JobRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import StoreUnavailableError, TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import TransactionStatus, Write
 from spurarch.transport.http import Response
 
 log = logging.getLogger(__name__)
@@ -163,7 +164,7 @@
             return refusal(400, "ref: not a job id")
         if not _amounts_in_range(spec):
             return refusal(400, "an amount is out of range")
-        wait_s = self._pending_submissions / self._replica.store.write_rate
+        wait_s = self._pending_submissions / self._replica.store.rates.write_rate
         if wait_s > LONGEST_QUEUE_S:
             # The queue for the state service is longer than users wait: it is better to retry once it is short.
             return refusal(503, "too many submissions at once", math.ceil(wait_s))
--- a/spurarch/coordination/api/routes.py
+++ b/spurarch/coordination/api/routes.py
@@ -67,9 +67,8 @@
         if self._recovery is not None:
             self._recovery.observe(heartbeat)
             if self._recovery.closed:
-                return Response(*await self._recovery.on_heartbeat(heartbeat))
-        status, body = await self._owner.on_heartbeat(heartbeat, time.monotonic())
-        return Response(status, body)
+                return await self._recovery.on_heartbeat(heartbeat)
+        return await self._owner.on_heartbeat(heartbeat, time.monotonic())
 
     def _health(self) -> Response:
         """Healthy, unless a peer could serve users and this controller can't."""
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -15,6 +15,7 @@
 from spurarch.coordination.membership.membership import Membership
 from spurarch.coordination.membership.store_reachability import StoreReachability
 from spurarch.coordination.partition.command_sender import direct_connections
+from spurarch.coordination.partition.owned_partition import OwnerContext
 from spurarch.coordination.partition.owner import PartitionOwner
 from spurarch.coordination.peers import PeerMessageHandler, PeerNotifier
 from spurarch.coordination.rate_sharing import RateSharing
@@ -23,15 +24,16 @@
 from spurarch.settings import Platform, Tuning
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud
+from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.replica import Replica
-from spurarch.storage.store import Store, StoreUnavailableError
+from spurarch.storage.store import Store
 from spurarch.transport.http import Request, Response
 from spurarch.transport.network import Network
 
 if TYPE_CHECKING:
     from spurarch.coordination.extension import Extension
     from spurarch.coordination.leader import Leader
-    from spurarch.coordination.partition.partition import ArchiveCoverage
+    from spurarch.coordination.partition.state import ArchiveCoverage
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +104,7 @@
         self._router = RequestRouter(self.job_api, self.owner, self.replica, self.reachability, self._recovery)
 
     def _create_owner(self, lag: EventLoopLag, coverage: ArchiveCoverage | None) -> PartitionOwner:
-        return PartitionOwner(
+        context = OwnerContext(
             self.replica,
             self.membership,
             self.view,
@@ -115,6 +117,7 @@
             self.network,
             coverage,
         )
+        return PartitionOwner(context)
 
     async def run(self) -> None:
         """Serves until cancelled."""
--- a/spurarch/coordination/extension.py
+++ b/spurarch/coordination/extension.py
@@ -8,8 +8,9 @@
 
 if TYPE_CHECKING:
     from spurarch.coordination.controller import Controller
-    from spurarch.coordination.partition.partition import ArchiveCoverage
+    from spurarch.coordination.partition.state import ArchiveCoverage
     from spurarch.storage.history import HistoryGuard
+    from spurarch.transport.http import Response
 
 
 class Recovery(Protocol):
@@ -28,7 +29,7 @@
     def observe(self, heartbeat: wire.Heartbeat) -> None:
         """Checks a worker's heartbeat for signs of loss."""
 
-    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> tuple[int, bytes]:
+    async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
         """Answers a heartbeat while the records can't be trusted: status and body."""
 
     def on_frame(self, frame: bytes) -> bytes | None:
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -16,8 +16,9 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import LeaderRecord, MemberRecord, PartitionRecord
-from spurarch.storage.replica import Replica, Write
-from spurarch.storage.store import Store, TransactionResult, TransactionStatus
+from spurarch.storage.replica import Replica
+from spurarch.storage.store import Store
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
 
 if TYPE_CHECKING:
     from spurarch.coordination.membership.partition_assignment import PartitionAssigner
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -9,7 +9,8 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import MemberRecord, PartitionRecord
-from spurarch.storage.replica import Replica, Write
+from spurarch.storage.replica import Replica
+from spurarch.storage.transaction import Write
 
 log = logging.getLogger(__name__)
 
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -84,7 +84,7 @@
         before = self._peer_loads.get(load.node)
         announced = self._limits.next is not None
         if announced and before is not None and load.throttled_writes > before.load.throttled_writes:
-            self._store.record_peer_throttled()
+            self._store.rates.record_peer_throttled()
 
     async def run(self) -> None:
         """Applies new shares every second, and at once when a worker can't find its partition's owner."""
@@ -113,7 +113,7 @@
             node: dict(load.unregistered_machines) for node, load in loads.items()
         }
         loads[self._node] = own_load
-        self._store.set_shares(shares[self._node].requests, self._write_share(shares, loads))
+        self._store.rates.set_shares(shares[self._node].requests, self._write_share(shares, loads))
         others = max(1, len(nodes) - 1)
         self._cloud.set_share(LEADER_CLOUD_SHARE if self._node == leader_node else (1 - LEADER_CLOUD_SHARE) / others)
         await broadcast(self._clients.values(), peer_messages.encode(own_load))
@@ -121,10 +121,10 @@
     def _own_load(self, now: float) -> Load:
         return Load(
             self._node,
-            *self._store.recent_writes(),
+            *self._store.rates.recent_writes(),
             self._owner.unregistered_machines(now),
             self._owner.scale_in.released_unrecorded(),
-            self._store.throttled_writes,
+            self._store.rates.throttled_writes,
         )
 
     def _write_share(self, shares: Mapping[str, RateShares], loads: Mapping[str, Load]) -> float:
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from spurarch.coordination.admission.job_finalizer import JobFinalizer
-from spurarch.coordination.admission.planner import AdmissionGrant
+from spurarch.coordination.admission.plan import AdmissionGrant
 from spurarch.coordination.admission.writer import AdmissionWriter
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import Charge
@@ -20,8 +20,7 @@
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.records import AllocationKey, AllocationRecord, FinalRecord, JobRecord, TaskEntry
-from spurarch.storage.replica import Write
-from spurarch.storage.store import TransactionResult, TransactionStatus
+from spurarch.storage.transaction import TransactionResult, TransactionStatus, Write
 from tests.sim.clock import Clock
 from tests.test_scale import Fleet, submission
 
