--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -69,15 +69,7 @@
         self.store = Store(network.client(external.state, STORE_CONNECTIONS), deployment.state, deployment.count, guard)
         self.cloud = Cloud(network.client(external.cloud, CLOUD_CONNECTIONS), deployment.cloud.rps, deployment.count)
         self.replica = Replica(self.store)
-        self.membership = Membership(
-            self.replica,
-            node,
-            self.process_incarnation,
-            platform.area,
-            deployment.zones,
-            tuning.member_ttl_s,
-            version,
-        )
+        self.membership = self._create_membership(version)
         workers = deployment.workers
         self.reachability = StoreReachability([peer.node for peer in platform.peers], workers.cancel_s, workers.lease_s)
         self.stall_detector = StallDetector()
@@ -87,14 +79,7 @@
         self.owner = self._create_owner(lag, coverage)
         self.peers = {peer.node: network.back_client(peer.address) for peer in platform.peers}
         self._notifier = PeerNotifier(self.peers)
-        self.job_api = JobApi(
-            self.replica,
-            self.view,
-            deployment,
-            [node, *(peer.node for peer in platform.peers)],
-            self._notifier.notify_state_changed,
-            self._notifier.notify_cancelled,
-        )
+        self.job_api = self._create_job_api()
         self._rate_sharing = RateSharing(node, self.peers, self.replica, self.cloud, self.owner, deployment.state)
         self._peer_messages = PeerMessageHandler(
             node, self.process_incarnation, self.replica, self.reachability, self._rate_sharing
@@ -103,6 +88,27 @@
         self._recovery = extension.attach(self) if extension is not None else None
         self._router = RequestRouter(self.job_api, self.owner, self.replica, self.reachability, self._recovery)
 
+    def _create_membership(self, version: int) -> Membership:
+        return Membership(
+            self.replica,
+            self.platform.node,
+            self.process_incarnation,
+            self.platform.area,
+            self.platform.deployment.zones,
+            self.tuning.member_ttl_s,
+            version,
+        )
+
+    def _create_job_api(self) -> JobApi:
+        return JobApi(
+            self.replica,
+            self.view,
+            self.platform.deployment,
+            [self.platform.node, *(peer.node for peer in self.platform.peers)],
+            self._notifier.notify_state_changed,
+            self._notifier.notify_cancelled,
+        )
+
     def _create_owner(self, lag: EventLoopLag, coverage: ArchiveCoverage | None) -> PartitionOwner:
         context = OwnerContext(
             self.replica,
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -62,11 +62,11 @@
 
     def superseded(self, zone: str) -> bool:
         """Another controller owns the zone's partition by now, as told by a peer whose copy is newer than ours."""
-        told = self.reachability.partitions_by_peers.get(zone)
-        if told is None or told.node == self._membership.node:
+        known = self.reachability.partitions_by_peers.get(zone)
+        if known is None or known.node == self._membership.node:
             return False
         partition = self._replica.state.partitions.get(zone)
-        return partition is None or told.epoch > partition.epoch
+        return partition is None or known.epoch > partition.epoch
 
     def time_since_cancellation(self, job: str) -> float | None:
         """Seconds since a job was cancelled, as far as can be told; None if it is not known to be cancelled.
@@ -77,5 +77,5 @@
         if record is not None and record.cancelled:
             elapsed_s = time.time() - record.cancelled_at if record.cancelled_at > 0 else 0.0
             return min(max(elapsed_s, 0.0), self._cancel_s)
-        told_at = self.reachability.cancelled_by_peers.get(job)
-        return time.monotonic() - told_at if told_at is not None else None
+        reported_at = self.reachability.cancelled_by_peers.get(job)
+        return time.monotonic() - reported_at if reported_at is not None else None
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """What a handler answers: a JSON body and any extra headers."""
+    """A handler's answer: a JSON body and any extra headers."""
 
     status: int
     body: bytes = b"{}"
@@ -64,7 +64,7 @@
 
 
 class RequestParser:
-    """Takes in the bytes of one connection, and gives its requests in turn."""
+    """Parses the bytes of one server connection into requests, in their order."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
@@ -80,7 +80,7 @@
         self._head_done = self._expects_continue = self.started = False
 
     def feed(self, data: bytes) -> None:
-        """Takes in some bytes; raises MessageError if no request can come of them."""
+        """Parses more bytes; raises MessageError if they can't be part of an acceptable request."""
         self.started = True
         if not self._head_done:
             self._head_bytes += len(data)
@@ -100,7 +100,7 @@
         return self._requests.pop(0) if self._requests else None
 
     def wants_continue(self) -> bool:
-        """The client waits for leave to send its body; told once."""
+        """The client waits for a 100 response before it sends its body; true once for each request."""
         wanted, self._expects_continue = self._expects_continue, False
         return wanted and not self._parts
 
@@ -140,7 +140,7 @@
 
 
 class ResponseParser:
-    """Takes in the bytes of one response."""
+    """Parses the bytes of one response."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -151,7 +151,7 @@
         self.status = 0
 
     def feed(self, data: bytes) -> None:
-        """Takes in some bytes, none if the connection has ended; raises OSError if no response can come of them."""
+        """Parses more bytes, none if the connection has ended; raises OSError if they can't be part of a response."""
         if not data:
             if not self._head_done or self._sized:
                 raise ConnectionResetError("closed before the answer")
@@ -184,7 +184,7 @@
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
-        """All of the response has come; interim ones are passed over."""
+        """All of the response has come; interim responses are ignored."""
         if self.status >= 200:
             self.complete = True
             self.keep_alive = self._parser.should_keep_alive()
