--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -33,6 +33,7 @@
 if TYPE_CHECKING:
     from spurarch.coordination.extension import Extension
     from spurarch.coordination.leader import Leader
+    from spurarch.coordination.partition.state import ArchiveCoverage
 
 log = logging.getLogger(__name__)
 
@@ -68,45 +69,17 @@
         self.store = Store(network.client(external.state, STORE_CONNECTIONS), deployment.state, deployment.count, guard)
         self.cloud = Cloud(network.client(external.cloud, CLOUD_CONNECTIONS), deployment.cloud.rps, deployment.count)
         self.replica = Replica(self.store)
-        self.membership = Membership(
-            self.replica,
-            node,
-            self.process_incarnation,
-            platform.area,
-            deployment.zones,
-            tuning.member_ttl_s,
-            version,
-        )
+        self.membership = self._create_membership(version)
         workers = deployment.workers
         self.reachability = StoreReachability([peer.node for peer in platform.peers], workers.cancel_s, workers.lease_s)
         self.stall_detector = StallDetector()
         lag = EventLoopLag()
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
-        self.owner = PartitionOwner(
-            OwnerContext(
-                self.replica,
-                self.membership,
-                self.view,
-                self.cloud,
-                self.reachability,
-                self.stall_detector,
-                lag,
-                deployment,
-                tuning,
-                network,
-                extension.coverage if extension is not None else None,
-            )
-        )
+        coverage = extension.coverage if extension is not None else None
+        self.owner = self._create_owner(lag, coverage)
         self.peers = {peer.node: network.back_client(peer.address) for peer in platform.peers}
         self._notifier = PeerNotifier(self.peers)
-        self.job_api = JobApi(
-            self.replica,
-            self.view,
-            deployment,
-            [node, *(peer.node for peer in platform.peers)],
-            self._notifier.notify_state_changed,
-            self._notifier.notify_cancelled,
-        )
+        self.job_api = self._create_job_api()
         self._rate_sharing = RateSharing(node, self.peers, self.replica, self.cloud, self.owner, deployment.state)
         self._peer_messages = PeerMessageHandler(
             node, self.process_incarnation, self.replica, self.reachability, self._rate_sharing
@@ -115,6 +88,43 @@
         self._recovery = extension.attach(self) if extension is not None else None
         self._router = RequestRouter(self.job_api, self.owner, self.replica, self.reachability, self._recovery)
 
+    def _create_membership(self, version: int) -> Membership:
+        return Membership(
+            self.replica,
+            self.platform.node,
+            self.process_incarnation,
+            self.platform.area,
+            self.platform.deployment.zones,
+            self.tuning.member_ttl_s,
+            version,
+        )
+
+    def _create_job_api(self) -> JobApi:
+        return JobApi(
+            self.replica,
+            self.view,
+            self.platform.deployment,
+            [self.platform.node, *(peer.node for peer in self.platform.peers)],
+            self._notifier.notify_state_changed,
+            self._notifier.notify_cancelled,
+        )
+
+    def _create_owner(self, lag: EventLoopLag, coverage: ArchiveCoverage | None) -> PartitionOwner:
+        context = OwnerContext(
+            self.replica,
+            self.membership,
+            self.view,
+            self.cloud,
+            self.reachability,
+            self.stall_detector,
+            lag,
+            self.platform.deployment,
+            self.tuning,
+            self.network,
+            coverage,
+        )
+        return PartitionOwner(context)
+
     async def run(self) -> None:
         """Serves until cancelled."""
         platform = self.platform
@@ -123,7 +133,7 @@
         tasks = [
             self.network.server(platform.listen, self.handle, connections).run,
             self.network.back_server(platform.back, self.on_frame, PEER_CONNECTIONS).run,
-            self.membership.run_lease,
+            self.membership.lease.run,
             self._start,
             self.replica.run_sync,
             self.owner.run,
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -31,6 +31,7 @@
     "spurarch.coordination.leader",
     "spurarch.coordination.membership.freshness",
     "spurarch.coordination.admission.job_admission",
+    "spurarch.coordination.membership.partition_assignment",
     "spurarch.coordination.admission.plan",
     "spurarch.coordination.admission.planner",
     "spurarch.coordination.admission.planning_state",
