--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -11,18 +11,10 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
+from spurarch.coordination.fleet.capacity import EPSILON, PRIORITIES, MachineCapacity, Requirements, TentativeBookings
 from spurarch.coordination.fleet.fleet_view import FleetView, JobView
 from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge
-from spurarch.coordination.scheduling.best_fit import (
-    EPSILON,
-    PRIORITIES,
-    MachineCapacity,
-    Requirements,
-    TentativeBookings,
-    all_fit,
-    best_fit,
-    fill,
-)
+from spurarch.coordination.scheduling.best_fit import all_fit, best_fit, fill
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
 
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements
 from spurarch.coordination.fleet.interner import StringInterner
 from spurarch.coordination.fleet.quota_ledger import Charge, QuotaLedger
-from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.protocol import wire
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -8,6 +8,7 @@
 import curio
 
 from spurarch.coordination.admission.planner import CapacityShortage
+from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
 from spurarch.coordination.runtime.stall_detector import StallDetector
@@ -18,7 +19,6 @@
     empty_capacity,
     plan_scale_out,
 )
-from spurarch.coordination.scheduling.best_fit import MachineCapacity
 from spurarch.protocol import wire
 from spurarch.settings import Deployment, Tuning
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -9,8 +9,8 @@
 from itertools import islice
 
 from spurarch.coordination.admission.planner import CapacityShortage
+from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements
 from spurarch.coordination.fleet.fleet_view import FleetView
-from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements
 from spurarch.protocol import wire
 
 MOST_AT_ONCE = 50
--- a/spurarch/coordination/scheduling/local_search.py
+++ b/spurarch/coordination/scheduling/local_search.py
@@ -7,10 +7,11 @@
 from math import floor
 from random import Random
 
+from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.partition.machine import AttemptPhase, MachineState, TaskAttempt
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, best_fit
+from spurarch.coordination.scheduling.best_fit import best_fit
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, SearchResult, Weights
 from spurarch.settings import Tuning
 
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -8,22 +8,13 @@
 from functools import cached_property
 from itertools import groupby, islice
 
+from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements, TentativeBookings
 from spurarch.coordination.fleet.fleet_view import FleetView, JobView
 from spurarch.coordination.partition.allocation_changes import is_live
 from spurarch.coordination.partition.gang import GangAttempt, GangState
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.best_fit import (
-    EPSILON,
-    MachineCapacity,
-    Requirements,
-    TentativeBookings,
-    all_fit,
-    best_fit,
-    fill,
-    machine_to_reserve,
-    machines_to_reserve,
-)
+from spurarch.coordination.scheduling.best_fit import all_fit, best_fit, fill, machine_to_reserve, machines_to_reserve
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
 
--- a/spurarch/coordination/scheduling/tabu_search.py
+++ b/spurarch/coordination/scheduling/tabu_search.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -8,9 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.membership.membership import assign_partitions
 from spurarch.coordination.membership.store_reachability import StoreReachability
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, best_fit
+from spurarch.coordination.scheduling.best_fit import best_fit
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import peer_messages
 from spurarch.storage.rate_limits import TokenBucket, Urgency
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,12 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.membership.membership import assign_partitions, gangs_supported
 from spurarch.coordination.partition.allocation_changes import merge_changes
 from spurarch.coordination.partition.gang import GangAttempt, Gangs, GangState
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, machines_to_reserve
+from spurarch.coordination.scheduling.best_fit import machines_to_reserve
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.records import (
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,20 +13,14 @@
 from hypothesis import strategies as st
 
 from spurarch.coordination.admission.planner import AdmissionPlanner
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements, TentativeBookings
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import rate_shares
 from spurarch.coordination.partition.allocation_changes import merge_changes
 from spurarch.coordination.partition.machine import AttemptPhase, Machine
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling import best_fit as best_fit_module
-from spurarch.coordination.scheduling.best_fit import (
-    MachineCapacity,
-    Requirements,
-    TentativeBookings,
-    best_fit,
-    fill,
-    fitting,
-)
+from spurarch.coordination.scheduling.best_fit import best_fit, fill, fitting
 from spurarch.coordination.scheduling.placement import TaskPlacer
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import wire
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -29,6 +29,7 @@
     "sexpdata",
     "spurarch.coordination.leader",
     "spurarch.coordination.admission.planner",
+    "spurarch.coordination.scheduling.best_fit",
     "spurarch.coordination.scheduling.placement",
     "spurarch.coordination.scheduling.local_search",
     "spurarch.coordination.scheduling.tabu_search",
