--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -338,7 +338,7 @@
             log.info(
                 "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
             )
-            owned.placer.move_targets[attempt.key] = target, now + MOVE_S
+            owned.placer.move(attempt.key, target, now + MOVE_S)
             partition.request_stop(attempt, self._grace(attempt))
         if result.search is not None and result.search.moves:
             log.info(
--- /dev/null
+++ b/spurarch/coordination/scheduling/guarantee_preemption.py
@@ -0,0 +1,59 @@
+"""Preemption by guarantee: resources that a team borrowed are returned to teams within their guaranteed quota."""
+
+from __future__ import annotations
+
+from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.partition.machine import TaskAttempt
+from spurarch.coordination.scheduling.placement_memory import TaskKey
+from spurarch.coordination.scheduling.placement_round import PlacementRound
+from spurarch.coordination.scheduling.preemption import PREEMPT_WAIT_S, Preemption
+
+
+class GuaranteePreemption:
+    """Stops during one round work that teams run beyond their guarantees."""
+
+    def __init__(self, current_round: PlacementRound, preemption: Preemption) -> None:
+        self._round, self._preemption = current_round, preemption
+        self._stopped_cpus: dict[int, float] = {}  # by team, stopped in this round
+        self._candidates: list[TaskAttempt] | None = None
+
+    def make_room(self, key: TaskKey, job: JobView) -> bool:
+        """Stops one task that another team runs beyond its guarantee, for a job within its own team's guarantee.
+
+        That is the protocol's second rule of preemption. The youngest goes first; no team falls below its guarantee.
+        """
+        if self._candidates is None:
+            self._candidates = self._collect_candidates()
+        view, preemption = self._round.view, self._preemption
+        for attempt in reversed(self._candidates):
+            victim = view.jobs[attempt.allocation.job]
+            capacity = self._round.capacities.by_name.get(attempt.machine)
+            if victim.team == job.team or victim.service or capacity is None:
+                continue
+            if self._borrowed_cpus(victim.team) < victim.requirements.cpus:
+                continue
+            if not preemption.is_stoppable(attempt):
+                continue
+            if not preemption.victims(job.requirements, capacity, [attempt]):
+                continue
+            self._stopped_cpus[victim.team] = self._stopped_cpus.get(victim.team, 0.0) + victim.requirements.cpus
+            preemption.stop_for_task(key, job.requirements, [attempt], capacity, PREEMPT_WAIT_S)
+            return True
+        return False
+
+    def _borrowed_cpus(self, team: int) -> float:
+        """CPUs that a team still borrows once this round's victims have stopped."""
+        return self._round.view.borrowed_cpus(team) - self._stopped_cpus.get(team, 0.0)
+
+    def _collect_candidates(self) -> list[TaskAttempt]:
+        """Attempts of jobs that are not within their team's guarantee, the oldest first."""
+        view, preemption = self._round.view, self._preemption
+        attempts = [
+            attempt
+            for attempt in self._round.partition.attempts.values()
+            if preemption.is_stoppable(attempt)
+            and attempt.allocation.job in view.jobs
+            and not preemption.is_gang_member(attempt)
+            and attempt.allocation.job not in view.jobs_within_guarantee()
+        ]
+        return sorted(attempts, key=lambda attempt: attempt.running_at or self._round.now)
