--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -9,7 +9,8 @@
 
 from collections import defaultdict
 
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.fleet.quota_ledger import Charge
 from spurarch.storage import records
 
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -12,7 +12,8 @@
 from itertools import islice
 
 from spurarch.coordination.fleet.capacity import EPSILON, PRIORITIES, MachineCapacity, Requirements, TentativeBookings
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge
 from spurarch.coordination.scheduling.best_fit import all_fit, best_fit, fill
 from spurarch.storage import records
@@ -175,7 +176,7 @@
 
     def _rank(self, job_id: str) -> tuple[int, bool, float, float]:
         job = self.view.jobs[job_id]
-        return self.view.rank(job, job.is_starving(self.now, self.longest_wait_s))
+        return self.view.ranking.rank(job, job.is_starving(self.now, self.longest_wait_s))
 
     def _allowance(self, job: JobView) -> int:
         """How many more tasks the team's limit allows."""
--- a/spurarch/coordination/fleet/interner.py
+++ b/spurarch/coordination/fleet/interner.py
@@ -1,10 +1,10 @@
-"""The door where names become dense indices: decisions work on small integers and lists, never on strings."""
+"""Dense indices in place of names: decisions work on small integers, never on strings."""
 
 from __future__ import annotations
 
 
 class StringInterner:
-    """Gives each name the next free index and keeps it."""
+    """Gives each new name the next free index, for the life of the process."""
 
     __slots__ = ("_index", "_names")
 
@@ -21,5 +21,5 @@
         return found
 
     def name(self, index: int) -> str:
-        """The name behind an index."""
+        """The name with an index."""
         return self._names[index]
--- a/spurarch/coordination/fleet/quota_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -1,8 +1,8 @@
-"""What each team is charged with: tasks on record, and tasks of admissions under way. Limits are decided here alone.
+"""Resources charged to each team: tasks on record, and tasks of admissions under way. Quotas are enforced here alone.
 
-Guards against a total that is decided twice: a plan is made by the totals of one moment and carried out later, while other
-plans are made and carried out (docs/incidents/2026-12-02-team-limit.md). So whoever commits an admission reserves its
-tasks here first, in the same step, and the reservation stands until the copy of the records shows what became of it.
+A plan is made by the totals of one moment and committed later, while other plans are made and committed
+(docs/incidents/2026-12-02-team-limit.md). So whoever commits an admission reserves its tasks here first, in the same
+step, and the reservation stays until the copy of the records shows what became of it.
 """
 
 from __future__ import annotations
@@ -78,9 +78,7 @@
         self._reservations: list[QuotaReservation] = []
         self._suspended: set[int] = set()  # teams that are admitted nothing until the ledger is compared again
         self._before: dict[int, Charge] = {}  # teams whose records changed since the last check, and their totals then
-        self.teams_with_unreadable_jobs: set[int] = (
-            set()
-        )  # teams of whose jobs a record can't be read: what they take is not known
+        self.teams_with_unreadable_jobs: set[int] = set()  # their charges are not known
         self.violations = InvariantViolations()
 
     def recorded(self, team: int) -> Charge:
@@ -103,7 +101,7 @@
         self._recorded[team] = self.recorded(team) + charge
 
     def tasks_allowed(self, team: int, each: Charge, most: int, beside: Charge = NO_CHARGE) -> int:
-        """How many more equal tasks the team's limit allows, `beside` what is on record and under way."""
+        """How many more equal tasks the team's quota allows, `beside` what is on record and under way."""
         if team not in self._teams or team in self._suspended or team in self.teams_with_unreadable_jobs:
             return 0
         limit = self._quotas.get(team) or self._quota(team)
@@ -115,7 +113,7 @@
         return max(0, most)
 
     def reserve(self, job: str, team: int, each: Charge, tasks: int, term: int) -> QuotaReservation | None:
-        """Charges the tasks of an admission that is about to be committed; None if the limit does not allow them."""
+        """Charges the tasks of an admission that is about to be committed; None if the quota does not allow them."""
         if self.tasks_allowed(team, each, tasks) < tasks:
             return None
         reservation = QuotaReservation(job, team, each.times(tasks), term)
@@ -140,9 +138,9 @@
                 self.release(reservation)
 
     def check_quotas(self, whole: bool) -> None:
-        """Checks the totals that changed: none may rise beyond its limit, as long as the records are followed as a whole.
+        """Checks that no changed total rose beyond its quota, as long as the records are followed as a whole.
 
-        A limit that was lowered leaves a total beyond it: nothing more is admitted, and nothing is stopped.
+        A quota that was lowered leaves a total beyond it: nothing more is admitted, and nothing is stopped.
         """
         for team, before in self._before.items():
             most, total = self._quota(team), self.recorded(team)
@@ -191,7 +189,7 @@
         return f"charged={self.recorded(team)} reserved={self.reserved(team)} quota={self._quota(team)}"
 
     def _quota(self, team: int) -> Charge:
-        """The team's limit; nothing of a resource stands for none."""
+        """The team's quota; 0 of a resource means that it is unlimited."""
         most = self._quotas.get(team)
         if most is None:
             limit = self._teams.get(team)
--- a/spurarch/coordination/scheduling/array_placement.py
+++ b/spurarch/coordination/scheduling/array_placement.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from spurarch.coordination.fleet.capacity import MachineCapacity
-from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.scheduling.best_fit import fill, machine_to_reserve
 from spurarch.coordination.scheduling.guarantee_preemption import GuaranteePreemption
 from spurarch.coordination.scheduling.placement_round import PlacementRound
--- a/spurarch/coordination/scheduling/gang_placement.py
+++ b/spurarch/coordination/scheduling/gang_placement.py
@@ -5,7 +5,7 @@
 from itertools import islice
 
 from spurarch.coordination.fleet.capacity import MachineCapacity
-from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.gang import GangAttempt, GangState
 from spurarch.coordination.scheduling.best_fit import all_fit, fill, machines_to_reserve
 from spurarch.coordination.scheduling.placement_memory import GangReservation
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -6,7 +6,8 @@
 from itertools import groupby
 from typing import NamedTuple
 
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.allocation_changes import is_live
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling.array_placement import ArrayPlacement
@@ -157,7 +158,7 @@
 
     def _rank(self, allocation: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
         job = self._round.view.jobs[allocation.job]
-        return self._round.view.rank(job, self._round.is_starving(job)), allocation.job, allocation.chunk
+        return self._round.view.ranking.rank(job, self._round.is_starving(job)), allocation.job, allocation.chunk
 
     def _steps(self, allocations: list[AllocationKey]) -> list[_Step]:
         """In which order work of one priority is placed.
--- a/spurarch/coordination/scheduling/placement_round.py
+++ b/spurarch/coordination/scheduling/placement_round.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 
 from spurarch.coordination.fleet.capacity import MachineCapacity
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.machine import TaskAttempt
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling.placement_memory import PlacementMemory, TaskKey
--- a/spurarch/coordination/scheduling/task_return.py
+++ b/spurarch/coordination/scheduling/task_return.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from spurarch.coordination.fleet.fleet_view import JobView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.gang import GangAttempt
 from spurarch.coordination.scheduling.best_fit import all_fit
 from spurarch.coordination.scheduling.placement_round import PlacementRound
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -165,7 +165,7 @@
             fleet.put(f"{records.JOB}job-{i}", JobRecord(spec, 0.0))
         fleet.view.update()
         now, count = 0.0, 0
-        for job in sorted(fleet.view.jobs.values(), key=lambda job: fleet.view.rank(job, False)):
+        for job in sorted(fleet.view.jobs.values(), key=lambda job: fleet.view.ranking.rank(job, False)):
             now += job.tasks * 4.0
             count += job.deadline is not None and now > job.deadline
         return count
