--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -19,8 +19,8 @@
 from spurarch.protocol import wire
 from spurarch.settings import Objective, Team
 from spurarch.storage import records
+from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey
-from spurarch.storage.replica import ClusterState
 
 IMAGES_KEPT = 32
 WAIT_OBJECTIVE = "wait"  # kind of an objective for how soon the tasks of a class start
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -10,7 +10,8 @@
 
 from spurarch.coordination.admission.job_finalizer import JobFinalizer
 from spurarch.coordination.admission.ledger_audit import LedgerAudit
-from spurarch.coordination.admission.planner import AdmissionPlan, AdmissionPlanner, CapacityShortage
+from spurarch.coordination.admission.plan import AdmissionPlan, CapacityShortage
+from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.admission.writer import AdmissionWriter
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
@@ -105,7 +106,7 @@
         budget = RoundBudget(self.tuning.budget_ms / 1000, share)
         self.view.update()
         self.view.ledger.release_resolved(self.replica.state.revision, term)
-        scarce = min(1.0, max(0.0, 1.0 - self.replica.store.write_level()))
+        scarce = min(1.0, max(0.0, 1.0 - self.replica.store.rates.write_level()))
         admission = AdmissionPlanner(
             self.view,
             time.time(),
