--- a/spurarch/coordination/admission/array_planner.py
+++ b/spurarch/coordination/admission/array_planner.py
@@ -7,8 +7,10 @@
 from spurarch.coordination.admission.plan import ZoneAssignment
 from spurarch.coordination.admission.planning_state import PlanningState, in_zone_or_all
 from spurarch.coordination.admission.preemption import PreemptionPlanner
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, fill
+from spurarch.coordination.fleet.capacity import MachineCapacity
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
+from spurarch.coordination.scheduling.best_fit import fill
 
 MAX_PREEMPTING_TASKS = 50  # tasks of a job for which other work is stopped, in one round
 
--- a/spurarch/coordination/admission/gang_planner.py
+++ b/spurarch/coordination/admission/gang_planner.py
@@ -6,8 +6,9 @@
 
 from spurarch.coordination.admission.plan import ZoneAssignment
 from spurarch.coordination.admission.planning_state import PlanningState
-from spurarch.coordination.fleet.fleet_view import JobView
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, all_fit, fill
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
+from spurarch.coordination.fleet.job_view import JobView
+from spurarch.coordination.scheduling.best_fit import all_fit, fill
 
 
 class _FailedGang(NamedTuple):
--- a/spurarch/coordination/admission/negative_cache.py
+++ b/spurarch/coordination/admission/negative_cache.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spurarch.coordination.scheduling.best_fit import Requirements
+from spurarch.coordination.fleet.capacity import Requirements
 
 
 class NegativeCache:
--- a/spurarch/coordination/admission/plan.py
+++ b/spurarch/coordination/admission/plan.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from spurarch.coordination.scheduling.best_fit import Requirements
+from spurarch.coordination.fleet.capacity import Requirements
 from spurarch.storage.records import AllocationKey, TaskEntry
 
 
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -17,9 +17,10 @@
 from spurarch.coordination.admission.planning_state import PlanningState
 from spurarch.coordination.admission.preemption import PreemptionPlanner
 from spurarch.coordination.admission.replica_planner import ReplicaPlanner
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
+from spurarch.coordination.fleet.capacity import MachineCapacity
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge
-from spurarch.coordination.scheduling.best_fit import MachineCapacity
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
 
@@ -117,7 +118,7 @@
     def _rank(self, job_id: str) -> tuple[int, bool, float, float]:
         job = self._view.jobs[job_id]
         # One call for each waiting job, also for those whose quota allows nothing: no detour by the state.
-        return self._view.rank(job, job.is_starving(self._state.now, self._state.longest_wait_s))
+        return self._view.ranking.rank(job, job.is_starving(self._state.now, self._state.longest_wait_s))
 
     def _admit(self, job: JobView, plan: AdmissionPlan, max_grants: int) -> None:
         """Plans one job: assigns its tasks to zones, records what is short, and grants what can be recorded."""
--- a/spurarch/coordination/admission/planning_state.py
+++ b/spurarch/coordination/admission/planning_state.py
@@ -6,8 +6,10 @@
 from collections.abc import Iterable
 
 from spurarch.coordination.admission.negative_cache import NegativeCache
-from spurarch.coordination.fleet.fleet_view import FleetView, JobView
-from spurarch.coordination.scheduling.best_fit import EPSILON, MachineCapacity, Requirements, TentativeBookings, fill
+from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements, TentativeBookings
+from spurarch.coordination.fleet.fleet_view import FleetView
+from spurarch.coordination.fleet.job_view import JobView
+from spurarch.coordination.scheduling.best_fit import fill
 
 
 class PlanningState:
--- a/spurarch/coordination/admission/preemption.py
+++ b/spurarch/coordination/admission/preemption.py
@@ -6,8 +6,8 @@
 
 from spurarch.coordination.admission.negative_cache import NegativeCache
 from spurarch.coordination.admission.planning_state import PlanningState
-from spurarch.coordination.fleet.fleet_view import JobView
-from spurarch.coordination.scheduling.best_fit import PRIORITIES, MachineCapacity
+from spurarch.coordination.fleet.capacity import PRIORITIES, MachineCapacity
+from spurarch.coordination.fleet.job_view import JobView
 
 
 class PreemptionPlanner:
--- a/spurarch/coordination/admission/replica_planner.py
+++ b/spurarch/coordination/admission/replica_planner.py
@@ -7,8 +7,9 @@
 from spurarch.coordination.admission.plan import ZoneAssignment
 from spurarch.coordination.admission.planning_state import PlanningState
 from spurarch.coordination.admission.preemption import PreemptionPlanner
-from spurarch.coordination.fleet.fleet_view import JobView
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, best_fit
+from spurarch.coordination.fleet.capacity import MachineCapacity
+from spurarch.coordination.fleet.job_view import JobView
+from spurarch.coordination.scheduling.best_fit import best_fit
 
 SPREAD_ZONES = 2  # zones that a service's replicas are spread over, if there is room
 
--- a/spurarch/coordination/scaling/idle_machines.py
+++ b/spurarch/coordination/scaling/idle_machines.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.partition.failures import FAILURES_BEFORE_QUARANTINE
 from spurarch.coordination.partition.machine import Machine, MachineState
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.best_fit import MachineCapacity
 from spurarch.settings import Tuning
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -8,6 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.membership.membership import gangs_supported
 from spurarch.coordination.membership.partition_assignment import assign_partitions
 from spurarch.coordination.partition.allocation_changes import merge_changes
@@ -16,7 +17,7 @@
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.partition.state import PartitionContext
 from spurarch.coordination.partition.terminal_records import TerminalRecords
-from spurarch.coordination.scheduling.best_fit import MachineCapacity, Requirements, machines_to_reserve
+from spurarch.coordination.scheduling.best_fit import machines_to_reserve
 from spurarch.protocol import wire
 from spurarch.storage import records
 from spurarch.storage.cluster_state import ClusterState
