--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -134,7 +134,7 @@
 def _serve(args: argparse.Namespace) -> int:
     """Serves a fixed state; controllers that start with an empty state service rebuild the records from it."""
     state = read_state(_directory(args), args.revision)
-    server = ArchiveServer(lambda: state, lambda name: None)
+    server = ArchiveServer(lambda: state, lambda _name: None)
     print(f"serving history {state.history} as of revision {state.revision}", flush=True)
     try:
         curio.run(Network().server(args.listen, server.handle, SERVER_CONNECTIONS).run)
--- a/spurarch/archive/directory.py
+++ b/spurarch/archive/directory.py
@@ -1,8 +1,8 @@
 """The archive's directory: which files there are, and how they are created, appended to and removed.
 
 Every history has a directory of its own, `<number>-<name>`. A file gets its name once it is complete: it is written
-under another name, synced and renamed, and the directory is synced. A change log grows by whole blocks, each of which is
-synced before the revision that it covers is published. A torn last block of a log is ignored.
+under another name, synced and renamed, and the directory is synced. A change log grows by whole blocks, each of which
+is synced before the revision that it covers is published. A torn last block of a log is ignored.
 """
 
 from __future__ import annotations
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -76,23 +76,24 @@
         machines.
         """
         state = self._state
-        for allocation, job, count, often_tried in self._view.unassigned_tasks():
+        for allocation, job, unassigned, often_tried in self._view.unassigned_tasks():
             zone = self._view.zones.index(allocation.zone)
             known_not_to_fit = state.no_free_room.covers(job.requirements, zone)
+            without_room = unassigned
             if not known_not_to_fit:
-                count -= state.fill_free(job.requirements, zone, count)
-            if not count:
+                without_room -= state.fill_free(job.requirements, zone, unassigned)
+            if not without_room:
                 continue
             if job.gang:
                 state.zones_with_waiting_gang.add(zone)
             if not known_not_to_fit:
                 state.no_free_room.add(job.requirements, zone)
-            _record_shortage(plan, job, count - often_tried)
+            _record_shortage(plan, job, without_room - often_tried)
             if state.booting[zone] and not state.no_booting_room.covers(job.requirements, zone):
-                count -= state.fill_booting(job.requirements, zone, count)
-                if count:
+                without_room -= state.fill_booting(job.requirements, zone, without_room)
+                if without_room:
                     state.no_booting_room.add(job.requirements, zone)
-            state.queued_cpus[zone] += count * job.requirements.cpus
+            state.queued_cpus[zone] += without_room * job.requirements.cpus
         state.drop_full_machines()
 
     def _job_order(self, first_job: str | None) -> list[str]:
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -216,8 +216,9 @@
 
     def _create_leader(self) -> Leader:
         from spurarch.coordination.leader import Leader
+        from spurarch.coordination.leader_context import LeaderContext
 
-        return Leader(
+        context = LeaderContext(
             self.replica,
             self.membership,
             self.view,
@@ -228,3 +229,4 @@
             self.process_incarnation,
             self._notifier.notify_state_changed,
         )
+        return Leader(context)
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -7,7 +7,6 @@
 
 import logging
 import time
-from collections.abc import Awaitable, Callable
 
 import curio
 
@@ -16,15 +15,10 @@
 from spurarch.coordination.admission.plan import AdmissionPlan, CapacityShortage
 from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.admission.writer import AdmissionWriter
-from spurarch.coordination.fleet.fleet_view import FleetView
-from spurarch.coordination.membership.membership import Membership
+from spurarch.coordination.leader_context import LeaderContext
 from spurarch.coordination.runtime.round_budget import RoundBudget, rest_s
-from spurarch.coordination.runtime.stall_detector import StallDetector
 from spurarch.coordination.scaling.scale_out import ScaleOut
-from spurarch.settings import Deployment, Tuning
-from spurarch.storage.cloud import Cloud
 from spurarch.storage.rate_limits import Urgency
-from spurarch.storage.replica import Replica
 
 log = logging.getLogger(__name__)
 
@@ -38,30 +32,19 @@
 class Leader:
     """The leading controller's rounds; they do nothing while another one leads."""
 
-    def __init__(
-        self,
-        replica: Replica,
-        membership: Membership,
-        view: FleetView,
-        cloud: Cloud,
-        stall_detector: StallDetector,
-        deployment: Deployment,
-        tuning: Tuning,
-        process_incarnation: str,
-        notify_peers: Callable[[], Awaitable[None]],
-    ) -> None:
-        self.replica, self.membership, self.view = replica, membership, view
-        self.deployment, self.tuning = deployment, tuning
-        self._wakeup = replica.listen()
-        self._writer = AdmissionWriter(replica, membership, view, deployment.state, notify_peers)
-        self._finalizer = JobFinalizer(replica, view, deployment.state)
-        self._scale_out = ScaleOut(
-            replica, membership, view, cloud, stall_detector, deployment, tuning, process_incarnation
+    def __init__(self, context: LeaderContext) -> None:
+        self.replica, self.membership, self.view = context.replica, context.membership, context.view
+        self.deployment, self.tuning = context.deployment, context.tuning
+        self._wakeup = self.replica.listen()
+        self._writer = AdmissionWriter(
+            self.replica, self.membership, self.view, self.deployment.state, context.notify_peers
         )
+        self._finalizer = JobFinalizer(self.replica, self.view, self.deployment.state)
+        self._scale_out = ScaleOut(context)
         self._next_job: str | None = None
         self._shortages: list[CapacityShortage] = []
         self._term: int | None = None  # under which this process leads
-        self._audit = LedgerAudit(view)
+        self._audit = LedgerAudit(self.view)
         self._next_log = self._next_round = 0.0
 
     async def run(self) -> None:
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -27,11 +27,11 @@
 ) -> dict[str, str]:
     """The partitions, by zone, that should change their owner, and the new owners' nodes.
 
-    A partition is a whole zone. It goes to a controller in its own zone if there is one, so that a zone cut off from the
-    others keeps working; else to the living controller with the fewest partitions. `settled` are members that have lived
-    long enough to take a partition from an owner that is alive. A member that seems not to receive the heartbeats of a
-    zone is passed over for that zone, and gives it up, as long as there is another. While `gangs` are on record, members
-    of a version that does not start their tasks together own nothing.
+    A partition is a whole zone. It goes to a controller in its own zone if there is one, so that a zone cut off from
+    the others keeps working; else to the living controller with the fewest partitions. `settled` are members that have
+    lived long enough to take a partition from an owner that is alive. A member that seems not to receive the heartbeats
+    of a zone is passed over for that zone, and gives it up, as long as there is another. While `gangs` are on record,
+    members of a version that does not start their tasks together own nothing.
     """
     if gangs:
         members = {node: member for node, member in members.items() if member.starts_gangs}
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -55,7 +55,8 @@
     def owns(self, partition: Partition) -> bool:
         """The partition is still owned under the epoch under which its state in memory was begun.
 
-        Under a later epoch, even of our own, that state may be outdated: another controller may have owned it meanwhile.
+        Under a later epoch, even of our own, that state may be outdated: another controller may have owned it
+        meanwhile.
         """
         record = self._membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -7,10 +7,10 @@
 *freshness bound*, is the latest of
   - the time at which the newest successful read of the state service was sent;
   - the same of a peer, which passes on all that its copy holds: the time of our ping, less the age of that copy;
-  - the earliest of the latest pings that *every* peer answered with an attestation. A peer's process attests to what its
-    node confirmed: to its own confirmations, since its list holds them; and to those of its predecessors, if it has read
-    the state service since it started, or started before an earlier attestation. One that restarted within an outage
-    can't attest: its predecessor may have confirmed a cancellation and ended (docs/incidents/2026-12-02-gap.md).
+  - the earliest of the latest pings that *every* peer answered with an attestation. A peer's process attests to what
+    its node confirmed: to its own confirmations, since its list holds them; and to those of its predecessors, if it has
+    read the state service since it started, or started before an earlier attestation. One that restarted within an
+    outage can't attest: its predecessor may have confirmed a cancellation and ended (docs/incidents/2026-12-02-gap.md).
 Silence attests to nothing: that nobody reaches the service now says nothing of what was confirmed before.
 
 The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` keeps its worker alive for `lease_s`
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -59,8 +59,10 @@
     for entry in record.tasks:
         new = changes.get(entry.index)
         if new is not None and _still_applies(entry, new, gang):
-            entry, changed = new, True
+            entries.append(new)
+            changed = True
         elif new is not None and gang and new.state == records.ASSIGNED:
             return None
-        entries.append(entry)
+        else:
+            entries.append(entry)
     return AllocationRecord(entries) if changed else None
--- a/spurarch/coordination/runtime/round_budget.py
+++ b/spurarch/coordination/runtime/round_budget.py
@@ -11,8 +11,8 @@
     """Tells a round when to stop; the next round continues from there.
 
     The budget is processor time: on a share of a core it lasts accordingly longer on the clock, up to `LONGEST_S`. It
-    starts with the first call of `spent`. What every round has to do before its first decision is not counted, or else a
-    slow controller would spend all of its rounds on that and never decide anything.
+    starts with the first call of `spent`. What every round has to do before its first decision is not counted, or else
+    a slow controller would spend all of its rounds on that and never decide anything.
     """
 
     def __init__(self, processor_s: float, share: float) -> None:
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -10,9 +10,7 @@
 
 from spurarch.coordination.admission.plan import CapacityShortage
 from spurarch.coordination.fleet.capacity import MachineCapacity
-from spurarch.coordination.fleet.fleet_view import FleetView
-from spurarch.coordination.membership.membership import Membership
-from spurarch.coordination.runtime.stall_detector import StallDetector
+from spurarch.coordination.leader_context import LeaderContext
 from spurarch.coordination.scaling.scale_out_planner import (
     FreedCapacityEstimate,
     MachineKind,
@@ -21,9 +19,7 @@
     plan_scale_out,
 )
 from spurarch.protocol import wire
-from spurarch.settings import Deployment, Tuning
-from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
-from spurarch.storage.replica import Replica
+from spurarch.storage.cloud import CloudError, NoCapacityError
 
 log = logging.getLogger(__name__)
 
@@ -46,24 +42,11 @@
 class ScaleOut:
     """Keeps machine types and prices up to date; requests machines while this process leads."""
 
-    def __init__(
-        self,
-        replica: Replica,
-        membership: Membership,
-        view: FleetView,
-        cloud: Cloud,
-        stall_detector: StallDetector,
-        deployment: Deployment,
-        tuning: Tuning,
-        process_incarnation: str,
-    ) -> None:
-        self._replica, self._membership, self._view, self._cloud = replica, membership, view, cloud
-        self._deployment, self._tuning, self._process_incarnation, self._stall_detector = (
-            deployment,
-            tuning,
-            process_incarnation,
-            stall_detector,
-        )
+    def __init__(self, context: LeaderContext) -> None:
+        self._replica, self._membership, self._view = context.replica, context.membership, context.view
+        self._cloud, self._stall_detector = context.cloud, context.stall_detector
+        self._deployment, self._tuning = context.deployment, context.tuning
+        self._process_incarnation = context.process_incarnation
         self.shortages: list[CapacityShortage] = []
         self.booting: dict[str, BootingMachine] = {}
         self._exhausted_until: dict[MachineKind, float] = {}
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -89,46 +89,78 @@
     now: float,
 ) -> list[ScaleOutOrder]:
     """Orders for the tasks that fit neither on ready nor on booting machines, at the lowest price per task."""
-    capacities = [empty_capacity(view, view.machine_types[k.type], k) for k in booting if k.type in view.machine_types]
-    owned: dict[MachineKind, int] = defaultdict(int)
-    per_zone: dict[int, int] = defaultdict(int)
-    for zone, there in view.capacities_by_zone.items():
-        per_zone[zone] += len(there)
-    for capacity in capacities:
-        per_zone[capacity.zone] += 1
+    plan = _ScaleOutPlan(view, booting, exhausted, zones)
     boot_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
     for shortage in _merge_equal(_count_by_waves(shortage, now, boot_s) for shortage in shortages):
-        left = shortage.count - freed.absorb(shortage)
-        allowed_zones = zones
-        if shortage.gang and left > 0:
-            by_room = _zones_by_room(view, shortage.requirements, left, capacities, zones)
-            available = (
-                z for z in by_room if _cheapest(view, shortage.requirements, left, exhausted, [z], per_zone) is not None
-            )
-            allowed_zones = list(islice(available, 1))
-        for capacity in capacities:
-            if left <= 0:
+        plan.add(shortage, shortage.count - freed.absorb(shortage))
+    return plan.orders()
+
+
+class _ScaleOutPlan:
+    """A plan under way: capacity that is booting or ordered, what is left of it, and machines by zone."""
+
+    def __init__(
+        self, view: FleetView, booting: Iterable[MachineKind], exhausted: set[MachineKind], zones: list[str]
+    ) -> None:
+        self._view, self._exhausted, self._zones = view, exhausted, zones
+        types = view.machine_types
+        self._capacities = [empty_capacity(view, types[kind.type], kind) for kind in booting if kind.type in types]
+        self._ordered: dict[MachineKind, int] = defaultdict(int)
+        self._machines_by_zone: dict[int, int] = defaultdict(int)
+        for zone, there in view.capacities_by_zone.items():
+            self._machines_by_zone[zone] += len(there)
+        for capacity in self._capacities:
+            self._machines_by_zone[capacity.zone] += 1
+
+    def add(self, shortage: CapacityShortage, count: int) -> None:
+        """Finds capacity for so many tasks: on what is booting or ordered, and then on further machines."""
+        zones = self._zones
+        if shortage.gang and count > 0:
+            zones = self._zone_of_gang(shortage.requirements, count)
+        count = self._fill_known(shortage, count, zones)
+        self._order_machines(shortage.requirements, count, zones)
+
+    def orders(self) -> list[ScaleOutOrder]:
+        """The machines to request, by kind."""
+        return [ScaleOutOrder(kind, min(count, MAX_MACHINES_PER_ORDER)) for kind, count in self._ordered.items()]
+
+    def _zone_of_gang(self, requirements: Requirements, count: int) -> list[str]:
+        """The one zone for a gang, in which machines can be had for it; none if there is no such zone."""
+        by_room = _zones_by_room(self._view, requirements, count, self._capacities, self._zones)
+        available = (zone for zone in by_room if self._cheapest_kind(requirements, count, [zone]) is not None)
+        return list(islice(available, 1))
+
+    def _fill_known(self, shortage: CapacityShortage, count: int, zones: list[str]) -> int:
+        """Books tasks on capacity that is booting or ordered already; returns how many are left."""
+        for capacity in self._capacities:
+            if count <= 0:
                 break
-            if shortage.gang and view.zones.name(capacity.zone) not in allowed_zones:
+            if shortage.gang and self._view.zones.name(capacity.zone) not in zones:
                 continue
             if capacity.fits(shortage.requirements):
-                taken = capacity.task_slots(shortage.requirements, left)
+                taken = capacity.task_slots(shortage.requirements, count)
                 capacity.book(shortage.requirements, taken)
-                left -= taken
-        capacities = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
-        while left > 0:
-            kind = _cheapest(view, shortage.requirements, left, exhausted, allowed_zones, per_zone)
-            if kind is None or sum(owned.values()) >= MAX_MACHINES_PER_PLAN:
+                count -= taken
+        self._capacities = [capacity for capacity in self._capacities if capacity.free_cpus > EPSILON]
+        return count
+
+    def _order_machines(self, requirements: Requirements, count: int, zones: list[str]) -> None:
+        """Orders the cheapest machines for the rest, as far as there are any."""
+        while count > 0:
+            kind = self._cheapest_kind(requirements, count, zones)
+            if kind is None or sum(self._ordered.values()) >= MAX_MACHINES_PER_PLAN:
                 break
-            owned[kind] += 1
-            capacity = empty_capacity(view, view.machine_types[kind.type], kind)
-            per_zone[capacity.zone] += 1
-            taken = capacity.task_slots(shortage.requirements, left)
-            capacity.book(shortage.requirements, taken)
-            left -= taken
+            self._ordered[kind] += 1
+            capacity = empty_capacity(self._view, self._view.machine_types[kind.type], kind)
+            self._machines_by_zone[capacity.zone] += 1
+            taken = capacity.task_slots(requirements, count)
+            capacity.book(requirements, taken)
+            count -= taken
             if capacity.free_cpus > EPSILON:
-                capacities.append(capacity)
-    return [ScaleOutOrder(kind, min(count, MAX_MACHINES_PER_ORDER)) for kind, count in owned.items()]
+                self._capacities.append(capacity)
+
+    def _cheapest_kind(self, requirements: Requirements, count: int, zones: list[str]) -> MachineKind | None:
+        return _cheapest(self._view, requirements, count, self._exhausted, zones, self._machines_by_zone)
 
 
 def _zones_by_room(
--- a/spurarch/protocol/peer_messages.py
+++ b/spurarch/protocol/peer_messages.py
@@ -19,9 +19,9 @@
 class Pong(Struct, tag="pong", array_like=True):
     """Answer to a ping, with all that the sender knows to be cancelled, and who owns which partition.
 
-    `partitions` are zone, owner's node and epoch. With `store_reachable`, the lists are as new as the ping. Without, they
-    are complete up to `copy_age_s` ago, and hold whatever the sender's own process confirmed since; a `copy_age_s` below
-    zero says that it has never read the state service (an older version leaves it out, and its lists with it).
+    `partitions` are zone, owner's node and epoch. With `store_reachable`, the lists are as new as the ping. Without,
+    they are complete up to `copy_age_s` ago, and hold whatever the sender's own process confirmed since; a `copy_age_s`
+    below zero says that it has never read the state service (an older version leaves it out, and its lists with it).
     `uptime_s` is how long the process has run.
     """
 
@@ -45,8 +45,8 @@
 
     `unregistered_machines` counts, by zone, the workers that sent heartbeats to the sender in the last seconds though
     another controller owns their zone. `released_machines` are those that it released and that are still on record.
-    `throttled_writes` counts the transactions that the state service refused it for their rate (an older version leaves it
-    out, and ignores it).
+    `throttled_writes` counts the transactions that the state service refused it for their rate (an older version leaves
+    it out, and ignores it).
     """
 
     node: str
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -68,8 +68,8 @@
 class StateLimits(Struct):
     """Published limits of the state service.
 
-    The change to the `next` limits comes without notice. So sizes never exceed the lower of both, while rates start from
-    the present limit and follow the service's refusals down to the later one.
+    The change to the `next` limits comes without notice. So sizes never exceed the lower of both, while rates start
+    from the present limit and follow the service's refusals down to the later one.
     """
 
     rps: Positive
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -169,7 +169,7 @@
 
     # Called by httptools
 
-    def on_header(self, name: bytes, value: bytes) -> None:
+    def on_header(self, name: bytes, _value: bytes) -> None:
         """One header."""
         if name.lower() in (b"content-length", b"transfer-encoding"):
             self._sized = True
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
 """Tests that are known to fail: `KNOWN-RED.txt` at the root, a line each with test, cause and issue.
 
-They still run, and have to fail: one that passes, or that is not found, or a list that is too long, fails the whole run.
-With pytest-xdist, each worker process marks the listed tests, and the process that starts the workers does the rest: only
-an error that it raises itself ends the run with a message, and only it prints.
+They still run, and have to fail: one that passes, or that is not found, or a list that is too long, fails the whole
+run. With pytest-xdist, each worker process marks the listed tests, and the process that starts the workers does the
+rest: only an error that it raises itself ends the run with a message, and only it prints.
 """
 
 from __future__ import annotations
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -198,7 +198,7 @@
 
 
 def forget_cost(kind: str) -> dict[str, object]:
-    """What waiting for the archive adds to reports and to changes, in virtual time: 60 arrays of 4 tasks in a minute."""
+    """What waiting for the archive adds to heartbeats and changes, with 60 arrays of 4 tasks in a minute."""
     jobs = "".join(f"at {2 + n} submit job-{n + 1} tasks=4 run=3,5,7\n" for n in range(60))
     scenario = Scenario.parse(DAY + jobs + "end 90\n", {})
     played = RecoveryPlay(scenario) if kind != "off" else Play(scenario)
--- a/tests/sim/recovery.py
+++ b/tests/sim/recovery.py
@@ -1,4 +1,4 @@
-"""Scenarios in which the state service loses data: controllers with recovery, an archiver, and the losses themselves."""
+"""Scenarios in which the state service loses data: controllers with recovery, an archiver, and losses."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 class RecoveryPlay(Play):
     """A play whose controllers have recovery.
 
-    Three lines more may stand in a scenario: `archive off`, `answers archived`, and `without NODE...` for controllers of
-    a version without it.
+    Three lines more may stand in a scenario: `archive off`, `answers archived`, and `without NODE...` for controllers
+    of a version without it.
     """
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
--- a/tests/sim/scenario_text.py
+++ b/tests/sim/scenario_text.py
@@ -1,4 +1,7 @@
-"""The text of a scenario: `setup` lines, `at SECONDS ACTION ...`, `expect ...`, `end SECONDS`, and `vary NAME VALUE...`."""
+"""The text of a scenario.
+
+Its lines are `setup` lines, `at SECONDS ACTION ...`, `expect ...`, `end SECONDS`, and `vary NAME VALUE...`.
+"""
 
 from __future__ import annotations
 
--- a/tests/sim/soak.py
+++ b/tests/sim/soak.py
@@ -1,8 +1,10 @@
-"""Soaks real controllers in overlapping troubles: `python -m tests.sim.soak --seeds 1-50 [--size small] [--directory DIR]`.
+"""Soaks real controllers in overlapping troubles.
 
-Real processes on loopback, over stand-ins for workers, users, cloud and state service. All teams ask for more than their
-limits throughout. Every rule is checked from outside: at each start by what is on the machines, at each answer by what
-users were told before. A run leaves its logs, its outcomes and its timeline in a directory of its own.
+Usage: `python -m tests.sim.soak --seeds 1-50 [--size small] [--directory DIR]`.
+
+Real processes on loopback, over stand-ins for workers, users, cloud and state service. All teams ask for more than
+their limits throughout. Every rule is checked from outside: at each start by what is on the machines, at each answer by
+what users were told before. A run leaves its logs, its outcomes and its timeline in a directory of its own.
 """
 
 from __future__ import annotations
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -15,6 +15,7 @@
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import Charge
 from spurarch.coordination.leader import Leader
+from spurarch.coordination.leader_context import LeaderContext
 from spurarch.protocol import wire
 from spurarch.settings import CloudLimits, Deployment, StateLimits, Team, Tuning, Workers
 from spurarch.storage import records
@@ -81,7 +82,7 @@
 
 
 def test_a_later_batch_of_a_plan_finds_its_team_full() -> None:
-    """The first batch takes its time; another admission takes the rest of the limit, and the plan knows nothing of it."""
+    """The first batch takes its time; another admission takes the rest of the quota, and the plan does not know."""
     fleet = limited_fleet(6.0, ("job-1", 8), ("job-2", 8), ("job-3", 4))
 
     def meanwhile(writes: list[Write]) -> None:
@@ -191,7 +192,9 @@
     )
     deployment = Deployment(["a"], [], Workers(1.0, 10.0, 30.0), LIMITS, CloudLimits(1.0, 1.0))
     nothing: Any = None
-    leader = Leader(replica, membership, fleet.view, nothing, nothing, deployment, Tuning(), "boot", nothing)
+    leader = Leader(
+        LeaderContext(replica, membership, fleet.view, nothing, nothing, deployment, Tuning(), "boot", nothing)
+    )
     assert leader._finalizer._changed_keys
 
     async def play() -> None:
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -314,7 +314,8 @@
 
 
 def test_the_records_of_the_archive_are_asked_for_by_pages() -> None:
-    first = b"\x83\xa8revision\xcd\x01\xaf\xa7records\x91\x93\xabfinal/job-1\x09\xc4\x1a" + (
+    first = (
+        b"\x83\xa8revision\xcd\x01\xaf\xa7records\x91\x93\xabfinal/job-1\x09\xc4\x1a"
         b'{"state":"done","tasks":2}\xa8position\x01'
     )
     last = b"\x83\xa8revision\xcd\x01\xaf\xa7records\x91\x93\xablive/part/a\x0a\xc4\x02{}\xa8position\x00"
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -130,8 +130,7 @@
         if prepare is not None:
             prepare(site)
             await curio.sleep(1.0)
-        for request in requests:
-            answers.append(await site.ask(*request))
+        answers.extend([await site.ask(*request) for request in requests])
 
     tell(story, setup)
     return answers
@@ -761,12 +760,12 @@
         controller = controller_with_recovery(site.platform(0), site.tuning, network, "00ff")
         await curio.spawn(controller.run, daemon=True)
         await curio.sleep(4.0)
-        for frame in (
+        frames = (
             b"\x92\xa9revision?\xa2n1",
             b"\x94\xa9evidence?\xa2n1\xa401ab\x00",
             b"\x94\xa8reports?\xa2n1\x28\x00",
-        ):
-            answers.append(await controller.on_frame(frame))
+        )
+        answers.extend([await controller.on_frame(frame) for frame in frames])
 
     site = Site("controllers 1\nzones a", story, 0.0, started=False)
     site.run()
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
 """Two or three troubles at random moments, over real controllers: no rule may break, and afterwards all work goes on.
 
-The same days are played each time. `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0 tests/test_fault_combinations.py` plays as many new
-ones (docs/operations.md); what it finds becomes a scenario.
+The same days are played each time. `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0
+tests/test_fault_combinations.py` plays as many new ones (docs/operations.md); what it finds becomes a scenario.
 """
 
 from __future__ import annotations
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -335,7 +335,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000), steps=st.integers(5, 80), archived=st.floats(0, 1))
 def test_an_old_archive_alone_loses_no_end_and_frees_nothing_that_runs(seed: int, steps: int, archived: float) -> None:
-    """The snapshot is older than jobs that finished after it: what workers still show decides, the rest is not guessed."""
+    """The snapshot is older than jobs that finished after it: what workers know decides, nothing is guessed."""
     timeline = Timeline(seed)
     for _ in range(steps):
         timeline.step()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -228,7 +228,7 @@
 
 
 def test_a_report_is_occasion_for_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
-    """While ends waited to be gathered, every report of any machine led to a round: 25 a second in a large partition."""
+    """While ends waited to be batched, every heartbeat of any machine led to a round: 25 a second in a large one."""
     fleet = Fleet(3)
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"])
     before = fleet.partition.state.scheduling_triggers
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -42,7 +42,9 @@
 def test_a_soak_that_is_not_known_is_refused_by_a_line_that_names_the_choices(
     words: tuple[str, ...], named: tuple[str, ...]
 ) -> None:
-    done = subprocess.run([sys.executable, "-m", "tests.sim.soak", *words], cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "tests.sim.soak", *words], cwd=ROOT, capture_output=True, text=True, check=False
+    )
     assert done.returncode == 2
     assert all(name in done.stderr for name in named)
     assert len(done.stderr.splitlines()) == 1
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -66,7 +66,7 @@
 
 
 def test_the_first_silent_machines_of_a_cut_are_not_returned() -> None:
-    """37 healthy machines with tasks were, on the apart day, before most of the part had been silent for long enough."""
+    """37 healthy machines were, on the apart day, before most of the partition had been silent for long enough."""
     fleet = Fleet(10)
     workers = Workers(3.0, 18.0, 48.0)
     for i, machine in enumerate(fleet.partition.machines.values()):
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -29,6 +29,7 @@
     "sexpdata",
     "spurarch.coordination.extension",
     "spurarch.coordination.leader",
+    "spurarch.coordination.leader_context",
     "spurarch.coordination.membership.freshness",
     "spurarch.coordination.admission.job_admission",
     "spurarch.coordination.membership.partition_assignment",
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -1,7 +1,7 @@
 """Teams that are always at their limits, and troubles at random moments that leave totals old: in virtual time.
 
-The same days are played each time. `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0 tests/test_team_limit_combinations.py` plays as many
-new ones; what it finds becomes a scenario.
+The same days are played each time. `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0
+tests/test_team_limit_combinations.py` plays as many new ones; what it finds becomes a scenario.
 """
 
 from __future__ import annotations
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -1,4 +1,4 @@
-"""What a controller does when nothing happens, and what a report that shows nothing new leads to: counted, not timed."""
+"""Counts what a controller does when nothing happens, and on a heartbeat that shows nothing new."""
 
 from __future__ import annotations
 
