--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -109,10 +109,10 @@
 class MachineState(enum.Enum):
     """What is known of a machine."""
 
-    UNCONFIRMED = "unknown"  # on record, or sending heartbeats, but it has not yet shown a fencing token of ours
-    ACTIVE = "known"
-    LEASE_EXPIRED = "lost"  # silent for so long that its worker's lease has certainly expired
-    RELEASED = "gone"  # the cloud confirmed its release
+    UNCONFIRMED = "unconfirmed"  # on record, or sending heartbeats, but it has not yet shown a fencing token of ours
+    ACTIVE = "active"
+    LEASE_EXPIRED = "lease-expired"  # silent for so long that its worker's lease has certainly expired
+    RELEASED = "released"  # the cloud confirmed its release
 
 
 _NEXT_STATES = {
