--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -183,7 +183,7 @@
     assert ends.final_record("job-2") is None
 
 
-def test_a_controller_that_does_not_lead_gathers_no_news() -> None:
+def test_a_controller_that_does_not_lead_gathers_no_changes() -> None:
     """Ends of jobs have rounds of their own; what they collect from must not grow on controllers that never lead."""
     fleet = Fleet(3)
     membership: Any = SimpleNamespace(leading=False, confirmed_term=None)
--- a/tests/test_bursts.py
+++ b/tests/test_bursts.py
@@ -30,7 +30,7 @@
     waiting_in(fleet, "a", "job-1", 10)
     if queue_of_b:
         waiting_in(fleet, "b", "job-2", queue_of_b)
-    fleet.news(list(fleet.state.entries))
+    fleet.apply_changes(list(fleet.state.entries))
     placer = TaskPlacer()
     placer.writes_scarce, fleet.partition.state.capacity_added_at = scarce, grew_at
     for now in (1.0, 3.0 if not scarce else 7.0):
@@ -38,7 +38,7 @@
     return sum(e.state == records.RETURNED for entries in turn.entries.values() for e in entries.values())
 
 
-def test_room_that_another_part_waits_for_itself_is_no_reason_to_give_back() -> None:
+def test_capacity_that_another_partition_waits_for_itself_is_no_reason_to_give_back() -> None:
     """While machines came up in all zones, each part sent its tasks after the room of the others.
 
     A third of all changes in the first minute, four for each task.
@@ -109,15 +109,15 @@
     fleet = Fleet(0)
     fleet.view.set_machine_types([wire.MachineType("small", 1.0, 0.0, 4.0, 1.0, 0.5, 30.0, ["a"], 40.0, 0.1)])
     fleet.put(records.machine_key("a", "vm-1"), MachineRecord("small", False, "10.1.0.1:9000"))
-    fleet.news(list(fleet.state.entries))
-    fleet.report(1, 1, 0)
-    fleet.report(1, 2, fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"]))
+    fleet.apply_changes(list(fleet.state.entries))
+    fleet.heartbeat(1, 1, 0)
+    fleet.heartbeat(1, 2, fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"]))
     for job_id, image, at in (("job-1", "rare", 0.0), ("job-2", "common", 1.0)):
         spec = submission(job_id, 1)
         spec.image = image
         fleet.put(f"{records.JOB}{job_id}", JobRecord(spec, at))
         fleet.put(str(AllocationKey("a", job_id, 0)), AllocationRecord([TaskEntry(0)]))
-    fleet.news(list(fleet.state.entries))
+    fleet.apply_changes(list(fleet.state.entries))
     fleet.view.capacities[fleet.view.machines.index("vm-1")].images.add(fleet.view.images.index("common"))
     return fleet
 
@@ -146,7 +146,7 @@
     spec.kind = wire.SERVICE
     fleet.put(f"{records.JOB}job-3", JobRecord(spec, 2.0))
     fleet.put(str(AllocationKey("a", "job-3", 0)), AllocationRecord([TaskEntry(0)]))
-    fleet.news([f"{records.JOB}job-3", str(AllocationKey("a", "job-3", 0))])
+    fleet.apply_changes([f"{records.JOB}job-3", str(AllocationKey("a", "job-3", 0))])
     placer.pending_changes = first.entries
     assert not placer.run_round(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100).entries
     placer.pending_changes = {}
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -107,7 +107,7 @@
     return {node: MemberRecord(node, "boot", area) for node, area in nodes}
 
 
-def test_parts_go_home_and_orphans_to_the_least_loaded() -> None:
+def test_partitions_go_home_and_orphans_to_the_least_loaded() -> None:
     all_three = members(("n0", "a"), ("n1", "b"), ("n2", "c"))
     assert assign_partitions(["a", "b", "c", "d"], {}, all_three, set()) == {"a": "n0", "b": "n1", "c": "n2", "d": "n0"}
     parts = {z: PartitionRecord(n, 1) for z, n in (("a", "n0"), ("b", "n1"), ("c", "n2"), ("d", "n0"))}
@@ -116,14 +116,14 @@
     assert sorted(assign_partitions(["a", "b", "c", "d"], parts, two, set()).values()) == ["n1", "n2"]
 
 
-def test_a_part_goes_home_only_when_the_home_has_settled() -> None:
+def test_a_partition_goes_home_only_when_the_home_has_settled() -> None:
     parts = {"a": PartitionRecord("n1", 4)}
     both = members(("n0", "a"), ("n1", "b"))
     assert assign_partitions(["a"], parts, both, set()) == {}
     assert assign_partitions(["a"], parts, both, {"n0"}) == {"a": "n0"}
 
 
-def test_a_holder_that_does_not_hear_a_zone_gives_it_up() -> None:
+def test_an_owner_that_receives_no_heartbeats_of_a_zone_gives_it_up() -> None:
     parts = {"a": PartitionRecord("n0", 4)}
     both = members(("n0", "a"), ("n1", "b"))
     both["n0"].isolated_zones = ["a"]
@@ -141,7 +141,7 @@
     return peer_messages.Pong(node, "x", reaches, [f"job-{node}"], [("a", node, 9)], age_s, up_s)
 
 
-def test_word_lasts_until_a_cancellation_could_be_missed() -> None:
+def test_an_attestation_lasts_until_a_cancellation_could_be_missed() -> None:
     reachability = _reach()
     assert reachability.may_answer(100.0, 110.0)
     assert not reachability.may_answer(100.0, 120.0)
@@ -158,20 +158,20 @@
     assert reachability.cancelled_by_peers == {"job-p": 119.1}
 
 
-def test_a_peer_that_reaches_the_service_is_word_enough() -> None:
+def test_a_peer_that_reaches_the_service_is_attestation_enough() -> None:
     reachability = _reach()
     reachability.on_pong("q", 119.0, 119.1, _pong("q", reaches=True, age_s=0.1), 100.0)
     assert reachability.freshness_bound(100.0) == 119.0
 
 
-def test_a_copy_is_a_word_of_its_age() -> None:
+def test_a_copy_is_an_attestation_of_its_age() -> None:
     reachability = _reach()
     reachability.on_pong("q", 119.0, 119.1, _pong("q", age_s=5.0), 100.0)
     assert 113.9 < reachability.freshness_bound(100.0) <= 114.0
     assert reachability.freshness_bound(116.0) == 116.0
 
 
-def test_who_started_after_the_word_and_never_read_the_service_is_no_voucher() -> None:
+def test_who_started_after_the_attestation_and_never_read_the_service_can_not_attest() -> None:
     for up_s, word in ((18.0, 100.0), (19.0, 100.0), (20.0, 119.0)):  # its start lies after, at, or before the word
         reachability = _reach()
         reachability.on_pong("p", 119.0, 119.05, _pong("p"), 100.0)
@@ -192,7 +192,7 @@
     assert not reachability.outage(120.0)  # nobody has been heard for long
 
 
-def test_silence_of_an_older_version_is_no_word() -> None:
+def test_silence_of_an_older_version_is_no_attestation() -> None:
     reachability = _reach()
     for peer in ("p", "q"):
         old = peer_messages.decode(msgspec.msgpack.encode(["pong", peer, "x", False, [], []]))
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -241,7 +241,7 @@
 RENTAL = wire.ScaleOutRequest("r-17", "g8", "a", True, 12)
 
 
-def test_machines_are_rented_and_returned() -> None:
+def test_machines_are_requested_and_released() -> None:
     async def story(cloud: Cloud) -> list[str]:
         names = await cloud.scale_out(RENTAL, lambda: True)
         await cloud.release(names, lambda: True)
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -355,7 +355,7 @@
     assert msgspec.json.decode(stored, type=rebuilt_records.UnresolvedOutcome) == unresolved
 
 
-def test_the_words_for_kinds_of_doubt_are_the_stored_ones() -> None:
+def test_the_words_for_kinds_of_unresolved_outcomes_are_the_stored_ones() -> None:
     assert {kind.value for kind in rebuilt_records.UnresolvedKind} == {"outcome", "conflict", "unknown job"}
 
 
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -464,7 +464,7 @@
 # Workers' reports
 
 
-def test_a_report_to_the_owner_is_answered_with_its_token() -> None:
+def test_a_heartbeat_to_the_owner_is_answered_with_its_fencing_token() -> None:
     assert ask_all([("POST", "/agent/beat", report())]) == [(200, b'{"baton":137438953473,"orders":[]}', [])]
 
 
@@ -482,11 +482,11 @@
     ],
     ids=["no-fields", "no-json", "negative-token", "unknown-zone", "higher-token"],
 )
-def test_a_report_that_is_not_taken_gets_exactly_this_refusal(body: bytes, answer: Answer) -> None:
+def test_a_heartbeat_that_is_not_accepted_gets_exactly_this_refusal(body: bytes, answer: Answer) -> None:
     assert ask_all([("POST", "/agent/beat", body)]) == [answer]
 
 
-def test_a_report_to_another_than_the_owner_is_sent_to_the_owner() -> None:
+def test_a_heartbeat_to_another_than_the_owner_is_redirected_to_the_owner() -> None:
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
@@ -500,7 +500,7 @@
     assert answers == [(421, b'{"steward":"OWNER"}', [])]
 
 
-def test_a_report_of_a_zone_that_its_owner_does_not_hear_is_sent_to_any_controller() -> None:
+def test_a_heartbeat_of_an_unreachable_zone_is_sent_to_any_controller() -> None:
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
@@ -516,7 +516,7 @@
     assert answers == [(421, b"{}", [])]
 
 
-def test_a_report_long_after_the_last_word_of_the_state_service_is_refused() -> None:
+def test_a_heartbeat_long_after_the_last_read_of_the_state_service_is_refused() -> None:
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
@@ -546,7 +546,7 @@
 RUNNING = Heartbeat("vm-000001", "10.1.0.1:9000", "small", "a", 1, 1, 0, [TaskStatus("job-1/0", 2, "running")])
 
 
-def test_reports_during_a_rebuilding_get_exactly_these_answers() -> None:
+def test_heartbeats_during_a_rebuild_get_exactly_these_answers() -> None:
     allowed, cut = (lambda now: True), (lambda now: False)
     before = HeartbeatCollector(allowed, lambda job: False)
     during = HeartbeatCollector(allowed, lambda job: job == "job-1")
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -222,7 +222,7 @@
     ],
     ids=["full", "short"],
 )
-def test_a_report_is_understood(body: bytes, heartbeat: Heartbeat) -> None:
+def test_a_heartbeat_is_understood(body: bytes, heartbeat: Heartbeat) -> None:
     assert wire.heartbeat_decoder.decode(body) == heartbeat
 
 
@@ -244,7 +244,7 @@
     )
 
 
-def test_the_names_of_rented_machines_are_understood() -> None:
+def test_the_names_of_requested_machines_are_understood() -> None:
     assert wire.names_decoder.decode(b'{"crofts":["vm-000231"]}') == MachineNames(["vm-000231"])
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -31,7 +31,7 @@
     fleet.put(f"{records.JOB}job-9001", JobRecord(submission("job-9001", 1000), 1.0))
     fleet.put(str(AllocationKey("a", "job-9001", 0)), AllocationRecord([TaskEntry(n) for n in range(100)]))
     fleet.put(f"{records.JOB}job-9002", JobRecord(submission("job-9002", 100), 1.0))
-    fleet.news([str(AllocationKey("a", "job-9001", 0))])
+    fleet.apply_changes([str(AllocationKey("a", "job-9001", 0))])
     placed = TaskPlacer().run_round(fleet.partition, fleet.view, 2.0, lambda: False, 200)
     assert sum(map(len, placed.entries.values())) == 100
     plan = AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24)
@@ -44,7 +44,7 @@
     for machines in (400, MACHINES):
         fleet = Fleet(machines)
         token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-7"])
-        ended = fleet.wire_report(7, 3, token)
+        ended = fleet.build_heartbeat(7, 3, token)
         ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", exit_reason="done")
         report = calls(lambda f=fleet, r=ended: f.partition.on_heartbeat(r, 2.0))  # type: ignore[misc]
         left = calls(lambda f=fleet: TerminalRecords(f.partition.state).deletable_allocations(f.state))  # type: ignore[misc]
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -29,7 +29,7 @@
     return ScaleIn(ScaleInContext(*fixed, unused, deployment, unused), given["owned"])
 
 
-def test_a_machine_left_out_of_a_return_is_of_use_again() -> None:
+def test_a_machine_left_out_of_a_release_is_of_use_again() -> None:
     """A task is recorded onto one of two idle machines while both are closed.
 
     It stayed marked as being returned for ever on the former code, so nobody used it, and nobody returned it.
@@ -87,7 +87,7 @@
     """Its lease has run out, which frees its tasks; but a machine that hangs has not ended them."""
     fleet = Fleet(3)
     _stop_cancelled(fleet, 25.0)
-    fleet.report(2, 9, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
+    fleet.heartbeat(2, 9, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
     fleet.partition.tick(26.0)
     assert fleet.partition.machines["vm-0"].state is MachineState.LEASE_EXPIRED
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 40.0, False)] == ["vm-0", "vm-1"]
@@ -97,12 +97,12 @@
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 42.0, False)] == ["vm-1"]
 
 
-def test_a_machine_put_on_record_after_its_return_is_gone_at_once() -> None:
+def test_a_machine_put_on_record_after_its_release_is_gone_at_once() -> None:
     fleet = Fleet(2)
     key = records.machine_key("a", "vm-9")
     fleet.partition.on_released("vm-9")
     fleet.put(key, MachineRecord("big", False, "10.1.0.9:9000"))
-    fleet.news([key])
+    fleet.apply_changes([key])
     assert fleet.partition.machines["vm-9"].state is MachineState.RELEASED
 
 
@@ -111,12 +111,12 @@
     fleet.partition.state.records_read = False
     fleet.time_since_cancellation = lambda job: 1.0 if job == "job-0" else None
     answers = [
-        fleet.report(i, 5, fleet.partition.state.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)
+        fleet.heartbeat(i, 5, fleet.partition.state.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)
     ]
     assert answers == [[wire.Command(wire.STOP, f"job-0/{n}", 1, 0.0) for n in range(4)], []]
 
 
-def test_the_next_holder_is_told_of_machines_that_are_gone_though_on_record() -> None:
+def test_the_next_owner_is_told_of_machines_that_are_gone_though_on_record() -> None:
     fleet = Fleet(3)
     returns = _returns(
         replica=SimpleNamespace(state=fleet.state), owned={"a": SimpleNamespace(partition=fleet.partition)}
--- a/tests/test_round_budget.py
+++ b/tests/test_round_budget.py
@@ -49,7 +49,7 @@
     assert rest_s(0.001, 0.25, 8.0, 0.05) == 0.05
 
 
-def test_a_late_loop_gathers_more_news_for_a_round_but_not_for_ever() -> None:
+def test_a_late_loop_gathers_more_changes_for_a_round_but_not_for_ever() -> None:
     lag = EventLoopLag()
     assert lag.pause_s(0.03) == 0.03
     lag.record(0.1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -89,15 +89,15 @@
         for i in range(machines):
             self.put(records.machine_key("a", f"vm-{i}"), MachineRecord("big", False, "10.1.0.1:9000"))
             self.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
-            self.put(str(AllocationKey("a", f"job-{i}", 0)), self.allot(i, records.ASSIGNED))
+            self.put(str(AllocationKey("a", f"job-{i}", 0)), self.allocation_record(i, records.ASSIGNED))
         self.partition.state.records_read = True
-        self.news(list(self.state.entries))
+        self.apply_changes(list(self.state.entries))
         for i in range(machines):
-            self.report(i, 1, 0)
-            self.report(i, 2, self.partition.state.fencing_token(self.partition.machines[f"vm-{i}"]))
+            self.heartbeat(i, 1, 0)
+            self.heartbeat(i, 2, self.partition.state.fencing_token(self.partition.machines[f"vm-{i}"]))
 
     @staticmethod
-    def allot(i: int, last: int) -> AllocationRecord:
+    def allocation_record(i: int, last: int) -> AllocationRecord:
         """Four tasks of a job on one machine; the last one in the given state."""
         states = [records.ASSIGNED] * 3 + [last]
         return AllocationRecord([TaskEntry(n, state, 1, f"vm-{i}", 1) for n, state in enumerate(states)])
@@ -107,32 +107,32 @@
         self.state.put(key, self.state.revision + 1, record)
         self.state.advance(self.state.revision + 1)
 
-    def news(self, keys: list[str]) -> None:
+    def apply_changes(self, keys: list[str]) -> None:
         """Has the tables follow changed records."""
         self.view.update()
         self.partition.apply_records(self.state, keys, 1.0)
 
     @staticmethod
-    def wire_report(i: int, seq: int, token: int) -> wire.Heartbeat:
+    def build_heartbeat(i: int, seq: int, token: int) -> wire.Heartbeat:
         """A report of a machine on which all four tasks run."""
         tasks = [wire.TaskStatus(f"job-{i}/{n}", 1, "running") for n in range(4)]
         return wire.Heartbeat(f"vm-{i}", "10.1.0.1:9000", "big", "a", 1, seq, token, tasks)
 
-    def report(self, i: int, seq: int, token: int) -> object:
+    def heartbeat(self, i: int, seq: int, token: int) -> object:
         """Takes such a report in."""
-        return self.partition.on_heartbeat(self.wire_report(i, seq, token), 1.0 + seq / 10)
+        return self.partition.on_heartbeat(self.build_heartbeat(i, seq, token), 1.0 + seq / 10)
 
 
-def test_a_report_and_a_change_cost_the_same_in_a_large_fleet() -> None:
+def test_a_heartbeat_and_a_change_cost_the_same_in_a_large_fleet() -> None:
     """The former code walked all runs, allocations and machines on every change and round."""
     costs = []
     for machines in (20, 400, 4000):
         fleet = Fleet(machines)
         token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-3"])
-        report = calls(lambda f=fleet, t=token: f.report(3, 3, t))  # type: ignore[misc]
+        report = calls(lambda f=fleet, t=token: f.heartbeat(3, 3, t))  # type: ignore[misc]
         key = str(AllocationKey("a", "job-3", 0))
-        fleet.put(key, Fleet.allot(3, records.ENDED))
-        change = calls(lambda f=fleet, k=key: f.news([k]))  # type: ignore[misc]
+        fleet.put(key, Fleet.allocation_record(3, records.ENDED))
+        change = calls(lambda f=fleet, k=key: f.apply_changes([k]))  # type: ignore[misc]
         ends = calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 0.0))  # type: ignore[misc]
         costs.append((report, change, ends))
     assert costs[0] == costs[1] == costs[2]
@@ -183,7 +183,7 @@
             key = str(AllocationKey("a", f"job-9{i}", 0))
             fleet.put(f"{records.JOB}job-9{i}", job)
             fleet.put(key, AllocationRecord([TaskEntry(n) for n in range(5)]))
-            fleet.news([key])
+            fleet.apply_changes([key])
         looks = 0
         TaskPlacer().run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
         seen.append(looks)
@@ -198,7 +198,7 @@
         entries = [TaskEntry(n, records.ASSIGNED, 1, "vm-0", 1) for n in range(100)]
         key = str(AllocationKey("a", "job-0", 0))
         fleet.put(key, AllocationRecord(entries))
-        fleet.news([key])
+        fleet.apply_changes([key])
         for attempt in list(fleet.partition.attempts.values())[:ended]:
             fleet.partition.state.transition(attempt, AttemptPhase.EXITED, wire.REASON_DONE)
         assert TerminalRecords(fleet.partition.state).entries(fleet.state, 3.0) == {}
@@ -206,7 +206,7 @@
     assert costs[0] == costs[1]
 
 
-def test_a_report_that_shows_what_the_last_one_did_is_not_gone_through_again() -> None:
+def test_a_heartbeat_that_shows_what_the_last_one_did_is_not_gone_through_again() -> None:
     fleet = Fleet(1)
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-0"])
     seen: list[str] = []
@@ -218,28 +218,28 @@
 
     fleet.partition._statuses._apply_task = counted  # type: ignore[method-assign]
     for seq in (3, 4, 5):
-        fleet.report(0, seq, token)
+        fleet.heartbeat(0, seq, token)
     assert seen == []
     key = str(AllocationKey("a", "job-0", 0))
     fleet.put(key, AllocationRecord([TaskEntry(n, records.ASSIGNED, 2, "vm-0", 1) for n in range(4)]))
-    fleet.news([key])
-    fleet.report(0, 6, token)
+    fleet.apply_changes([key])
+    fleet.heartbeat(0, 6, token)
     assert len(seen) == 4
 
 
-def test_a_report_is_occasion_for_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
+def test_a_heartbeat_triggers_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
     """While ends waited to be batched, every heartbeat of any machine led to a round: 25 a second in a large one."""
     fleet = Fleet(3)
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"])
     before = fleet.partition.state.scheduling_triggers
-    fleet.report(1, 3, token)
+    fleet.heartbeat(1, 3, token)
     assert fleet.partition.state.scheduling_triggers == before
-    ended = fleet.wire_report(1, 4, token)
+    ended = fleet.build_heartbeat(1, 4, token)
     ended.tasks[0] = wire.TaskStatus("job-1/0", 1, "ended", "done")
     fleet.partition.on_heartbeat(ended, 2.0)
     assert fleet.partition.state.scheduling_triggers == before + 1
     fleet.partition.on_heartbeat(wire.Heartbeat("vm-1", "10.1.0.1:9000", "big", "a", 1, 5, token, ended.tasks), 2.1)
-    fleet.report(2, 3, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
+    fleet.heartbeat(2, 3, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
     assert fleet.partition.terminal_attempts
     assert fleet.partition.state.scheduling_triggers == before + 1
     fresh = wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 1, 0, [])
@@ -288,7 +288,7 @@
         fleet.put(f"{records.JOB}job-99", JobRecord(submission("job-99", tasks), 1.0))
         key = str(AllocationKey("a", "job-99", 0))
         fleet.put(key, AllocationRecord([TaskEntry(index) for index in range(tasks)]))
-        fleet.news([key])
+        fleet.apply_changes([key])
         placer = TaskPlacer()
         placer.run_round(fleet.partition, fleet.view, 1.0, lambda: False, 200)
         costs.append(calls(lambda f=fleet, p=placer: p.run_round(f.partition, f.view, 9.0, lambda: False, 200)))  # type: ignore[misc]
--- a/tests/test_standing_still.py
+++ b/tests/test_standing_still.py
@@ -20,7 +20,7 @@
 WORKERS = Workers(1.0, 10.0, 30.0)
 
 
-def test_after_a_gap_nothing_counts_before_a_word_that_was_asked_for_after_it() -> None:
+def test_after_a_stall_nothing_counts_before_an_attestation_that_was_asked_for_after_it() -> None:
     stall_detector = StallDetector()
     assert stall_detector.confirmed_since_stall(100.0, 99.5)
     assert stall_detector.confirmed_since_stall(100.0 + STALL_S, 99.5)
@@ -47,13 +47,13 @@
     assert found(woke + 10.0, woke)
 
 
-def test_a_holder_that_may_have_been_deposed_gives_no_commands() -> None:
+def test_an_owner_that_may_have_been_deposed_gives_no_commands() -> None:
     fleet = Fleet(1)
     machine = fleet.partition.machines["vm-0"]
     fleet.partition.stop_job("job-0", 0.0)
-    heartbeat = fleet.wire_report(0, 3, fleet.partition.state.fencing_token(machine))
+    heartbeat = fleet.build_heartbeat(0, 3, fleet.partition.state.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 2.0, commanding=False) == []
-    heartbeat = fleet.wire_report(0, 4, fleet.partition.state.fencing_token(machine))
+    heartbeat = fleet.build_heartbeat(0, 4, fleet.partition.state.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 3.0)
 
 
@@ -65,7 +65,7 @@
     assert reports + direct_connections(sockets) + SOCKETS_RESERVED <= sockets
 
 
-def test_the_first_silent_machines_of_a_cut_are_not_returned() -> None:
+def test_the_first_silent_machines_of_a_cut_are_not_released() -> None:
     """37 healthy machines were, on the apart day, before most of the partition had been silent for long enough."""
     fleet = Fleet(10)
     workers = Workers(3.0, 18.0, 48.0)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -44,7 +44,7 @@
     assert "job-1" not in state.allocations
 
 
-def test_old_news_do_not_revive_what_we_deleted() -> None:
+def test_old_changes_do_not_revive_what_we_deleted() -> None:
     state = ClusterState()
     state.put(KEY, 3, record(1))
     state.apply_commit([Write(KEY, None)], 9)
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -153,7 +153,7 @@
     fleet = Fleet(0)
     for i in range(jobs):
         fleet.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
-        fleet.put(str(AllocationKey("a", f"job-{i}", 0)), Fleet.allot(i, records.ENDED))
+        fleet.put(str(AllocationKey("a", f"job-{i}", 0)), Fleet.allocation_record(i, records.ENDED))
     fleet.view.update()
     return fleet
 
@@ -219,7 +219,7 @@
 def test_an_allocation_that_is_read_before_its_job_is_charged_with_it() -> None:
     fleet = Fleet(0)
     allocation = AllocationKey("a", "job-1", 0)
-    fleet.put(str(allocation), Fleet.allot(1, records.ASSIGNED))
+    fleet.put(str(allocation), Fleet.allocation_record(1, records.ASSIGNED))
     fleet.view.update()
     assert fleet.view.ledger.recorded(0) == NO_CHARGE
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", 4), 0.0))
@@ -234,7 +234,7 @@
 def test_allocations_of_jobs_that_are_over_are_not_kept_for_ever() -> None:
     fleet = Fleet(0)
     allocation = AllocationKey("a", "job-1", 0)
-    fleet.put(str(allocation), Fleet.allot(1, records.ENDED))
+    fleet.put(str(allocation), Fleet.allocation_record(1, records.ENDED))
     fleet.view.update()
     fleet.state.delete(str(allocation), fleet.state.revision + 1)
     fleet.view.update()
@@ -311,7 +311,7 @@
         fleet.view = FleetView(fleet.state, [Team("t", quota_cpus=4.0)])
         for i in range(jobs):
             fleet.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
-        fleet.put(str(AllocationKey("a", "job-0", 0)), Fleet.allot(0, records.ASSIGNED))
+        fleet.put(str(AllocationKey("a", "job-0", 0)), Fleet.allocation_record(0, records.ASSIGNED))
         fleet.view.update()
         return calls(lambda: AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24))
 
