--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -22,7 +22,7 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from msgspec import Struct
 
 from spurarch.protocol import peer_messages
 
@@ -32,14 +32,14 @@
 NEVER = float("-inf")
 
 
-class KnownOwner(NamedTuple):
+class KnownOwner(Struct, frozen=True):
     """Who owns a partition, as a peer told."""
 
     node: str
     epoch: int
 
 
-class _PeerResponse(NamedTuple):
+class _PeerResponse(Struct, frozen=True):
     """The process of a peer that answered last, and when its answer came."""
 
     process_incarnation: str
--- a/spurarch/coordination/partition/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from functools import cached_property
 from typing import TYPE_CHECKING
 
 import curio
+from msgspec import Struct
 
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
@@ -27,8 +27,7 @@
 SILENT_HEARTBEATS = 2.5  # intervals without a heartbeat after which a machine counts as silent
 
 
-@dataclass(frozen=True, slots=True)
-class OwnerContext:
+class OwnerContext(Struct, frozen=True):
     """The parts of a controller that the owner of partitions works with.
 
     Attributes:
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -120,9 +120,9 @@
         if (
             self.permissions.superseded(zone)
             and by_peers is not None
-            and self._context.reachability.peer_responds(by_peers[0], now)
+            and self._context.reachability.peer_responds(by_peers.node, now)
         ):
-            return by_peers[0]
+            return by_peers.node
         return None
 
     async def _redirect(self, heartbeat: wire.Heartbeat, now: float) -> Response:
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -9,9 +9,10 @@
 
 from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Protocol
 
+from msgspec import Struct, field
+
 from spurarch.coordination.partition.gang import Gangs
 from spurarch.coordination.partition.machine import AttemptPhase, Machine, TaskAttempt, TaskKey
 from spurarch.coordination.runtime.invariants import InvariantViolations
@@ -40,8 +41,7 @@
     return True
 
 
-@dataclass(frozen=True, slots=True)
-class PartitionContext:
+class PartitionContext(Struct, frozen=True):
     """What a partition has to ask its controller for.
 
     Attributes:
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -8,10 +8,9 @@
 
 import time
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import NamedTuple
 
 import curio
+from msgspec import Struct
 
 from spurarch.coordination.partition.owner import PartitionOwner
 from spurarch.protocol import peer_messages
@@ -27,7 +26,7 @@
 LEADER_CLOUD_SHARE = 0.6  # the leader scales out and lists machines; the others only release machines
 
 
-class RateShares(NamedTuple):
+class RateShares(Struct, frozen=True):
     """A controller's shares of the state service's rates, each between 0 and 1."""
 
     requests: float
@@ -49,8 +48,7 @@
     return {node: RateShares(weight.requests / requests, weight.writes / writes) for node, weight in weights.items()}
 
 
-@dataclass(frozen=True, slots=True)
-class _ReceivedLoad:
+class _ReceivedLoad(Struct, frozen=True):
     """A peer's latest load, and when it came, by the monotonic clock."""
 
     load: Load
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -4,9 +4,9 @@
 
 import time
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 
 import curio
+from msgspec import Struct
 
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.membership.membership import Membership
@@ -32,8 +32,7 @@
 OUTAGE_S = 6.0  # without a read of the state service: this is no passing slowness
 
 
-@dataclass(frozen=True, slots=True)
-class ScaleInContext:
+class ScaleInContext(Struct, frozen=True):
     """What scale in works with."""
 
     replica: Replica
--- a/spurarch/coordination/scaling/silent_machines.py
+++ b/spurarch/coordination/scaling/silent_machines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from spurarch.coordination.partition.machine import Machine, MachineState
 from spurarch.coordination.partition.partition import Partition
@@ -19,8 +19,7 @@
 SILENT_HEARTBEATS = 2.5
 
 
-@dataclass(frozen=True, slots=True)
-class SilenceObservation:
+class SilenceObservation(Struct, frozen=True):
     """A partition as its owner sees it at one moment, in seconds of the monotonic clock.
 
     Silence counts from `resumed_at` at the earliest: before that this process itself was stalled.
@@ -40,8 +39,7 @@
         return self.now - max(self.partition.claimed_at, machine.first_seen, self.resumed_at)
 
 
-@dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class SilenceLimits(Struct, frozen=True):
     """Seconds of silence after which a machine is released, by its state."""
 
     unconfirmed_s: float
--- a/spurarch/storage/rate_limits.py
+++ b/spurarch/storage/rate_limits.py
@@ -5,10 +5,10 @@
 import enum
 import logging
 import time
-from dataclasses import dataclass
 from typing import NamedTuple
 
 import curio
+from msgspec import Struct
 
 from spurarch.settings import StateLimits
 
@@ -110,8 +110,7 @@
     backlogged: bool
 
 
-@dataclass(slots=True)
-class _Usage:
+class _Usage(Struct):
     """What was sent to the state service since usage was last logged."""
 
     requests: int = 0
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -10,10 +10,10 @@
 import logging
 import time
 from collections.abc import Iterable
-from dataclasses import dataclass
 from itertools import zip_longest
 
 import curio
+from msgspec import Struct
 
 from spurarch.protocol import wire
 from spurarch.storage import records
@@ -256,8 +256,7 @@
         return await self._committer.commit(writes, guards, absent, give_up_s, urgency, pinned)
 
 
-@dataclass(frozen=True, slots=True)
-class _PagesRead:
+class _PagesRead(Struct, frozen=True):
     """How many pages were read, and the revisions of the first and the last."""
 
     count: int
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,7 @@
 
 from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.membership.partition_assignment import assign_partitions
-from spurarch.coordination.membership.store_reachability import StoreReachability
+from spurarch.coordination.membership.store_reachability import KnownOwner, StoreReachability
 from spurarch.coordination.scheduling.best_fit import best_fit
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import peer_messages
@@ -153,7 +153,7 @@
         "job-p": 119.1,
         "job-q": 118.1,
     }  # passed on by who does not reach the service, too
-    assert reachability.partitions_by_peers == {"a": ("p", 9)}
+    assert reachability.partitions_by_peers == {"a": KnownOwner("p", 9)}
     reachability.discard_confirmed(118.5)  # a read of our own holds what was told before it, and no more
     assert reachability.cancelled_by_peers == {"job-p": 119.1}
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -406,9 +406,9 @@
     owners: list[str], leader: str | None, used: dict[str, float], hungry: set[str]
 ) -> None:
     shares = rate_shares(NODES, owners, leader)
-    for kind in (0, 1):
-        assert abs(sum(s[kind] for s in shares.values()) - 1.0) < 1e-9
-    writes = {n: s[1] for n, s in shares.items()}
+    assert abs(sum(share.requests for share in shares.values()) - 1.0) < 1e-9
+    assert abs(sum(share.writes for share in shares.values()) - 1.0) < 1e-9
+    writes = {n: share.writes for n, share in shares.items()}
     lent = {n: borrowed_share(n, writes, used, hungry) for n in NODES}
     assert sum(lent.values()) <= 1.0 + 1e-9
     assert all(lent[n] >= writes[n] - 1e-9 for n in hungry)
