--- a/spurarch/coordination/scheduling/local_search.py
+++ b/spurarch/coordination/scheduling/local_search.py
@@ -1,4 +1,4 @@
-"""The round's refinement of a part: Tabu search over service replicas, and consolidation. Pure."""
+"""The round's refinement of a partition: Tabu search over service replicas, and consolidation. Pure."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 def refine(
     partition: Partition, view: FleetView, tuning: Tuning, now: float, random: Random, late: Callable[[], bool]
 ) -> Refinement:
-    """One round of a part."""
+    """One round of a partition."""
     out = Refinement()
     names, capacities, tasks, attempts = _tables(partition, view, tuning)
     if tuning.consolidation_cap > 0 and not partition.unassigned:
@@ -82,7 +82,7 @@
 def _tables(
     partition: Partition, view: FleetView, tuning: Tuning
 ) -> tuple[list[str], list[MachineCapacity], list[Replica], list[TaskAttempt]]:
-    """Dense tables of the part's machines and of the tasks on them."""
+    """Dense tables of the partition's machines and of the tasks on them."""
     names: list[str] = []
     capacities: list[MachineCapacity] = []
     for capacity in view.capacities_by_zone[view.zones.index(partition.zone)].values():
--- a/spurarch/coordination/scheduling/tabu_search.py
+++ b/spurarch/coordination/scheduling/tabu_search.py
@@ -1,4 +1,4 @@
-"""The paper's second tier (IV-C): Tabu search over single moves of service replicas between the machines of a part.
+"""The paper's second tier (IV-C): Tabu search over moves of service replicas within a partition.
 
 It minimises alpha*EC + beta*IB + gamma*DV of the paper's Eq. 4. EC is zero here, since no traffic is known. IB is the
 mean relative gap between each machine's booked CPU, GPU and memory and their averages, over the machines that hold
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Replica:
-    """A task of the part; one that is not movable only counts as load."""
+    """A task of the partition; one that is not movable only counts as load."""
 
     task: int
     requirements: Requirements
@@ -57,7 +57,7 @@
 
 
 class Search:
-    """One search over one part.
+    """One search over one partition.
 
     A neighbour is judged by its difference: a move between two machines that both stay counted changes their two gaps
     and leaves the averages as they are. Only a move that empties its source asks for the whole sum.
--- a/spurarch/protocol/wire.py
+++ b/spurarch/protocol/wire.py
@@ -175,7 +175,7 @@
 
 
 class MachineNames(Struct):
-    """Names of machines: rented by a scale-out, or to be released."""
+    """Names of machines: granted by a scale-out, or to be released."""
 
     machines: list[str] = field(name="crofts")
 
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -84,7 +84,7 @@
             after = page.machines[-1].id
 
     async def scale_out(self, request: wire.ScaleOutRequest, still_allowed: Callable[[], bool]) -> list[str]:
-        """Rents machines and returns their names; the same request may be repeated without renting twice.
+        """Requests machines and returns their names; repeating the same request is idempotent.
 
         `still_allowed` is called at the last moment. Raises `CloudError`, `NoCapacityError`.
         """
