--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -67,7 +67,7 @@
         """Applies the records that have changed since the last update."""
         if not self._changed_keys:
             return
-        whole = self._was_consistent
+        was_consistent = self._was_consistent
         self._was_consistent = self.state.consistent
         keys = list(self._changed_keys)
         self._changed_keys.clear()
@@ -91,7 +91,7 @@
             self._apply_allocation(allocation)
         for job_id in touched:
             self._update_demand(job_id)
-        self.ledger.check_quotas(whole and self._was_consistent)
+        self.ledger.check_quotas(was_consistent and self._was_consistent)
         self._update_unreadable_teams()
 
     def _update_unreadable_teams(self) -> None:
@@ -111,8 +111,9 @@
     def rebook_job(self, job_id: str) -> None:
         """Books a job's allocations again, as they are on record."""
         self._apply_job(job_id)
-        for where in [*self.state.allocations.get(job_id, ()), *(w for w in list(self._booked) if w.job == job_id)]:
-            self._apply_allocation(where)
+        booked = [allocation for allocation in self._booked if allocation.job == job_id]
+        for allocation in [*self.state.allocations.get(job_id, ()), *booked]:
+            self._apply_allocation(allocation)
         self._update_demand(job_id)
 
     def _update_demand(self, job_id: str) -> None:
@@ -185,10 +186,10 @@
         machine = self.machines.index(name)
         record = self.state.machines[zone].get(name)
         offer = self.machine_types.get(record.type) if record else None
-        where = self.zones.index(zone)
+        zone_index = self.zones.index(zone)
         if record is None or offer is None:
             self.capacities.pop(machine, None)
-            self.capacities_by_zone[where].pop(machine, None)
+            self.capacities_by_zone[zone_index].pop(machine, None)
             if record is None:
                 self._cached_images.pop(machine, None)
             return
@@ -196,7 +197,7 @@
         if capacity is None:
             capacity = MachineCapacity(
                 machine,
-                where,
+                zone_index,
                 self.types.index(record.type),
                 record.spot,
                 offer.cpus,
@@ -207,7 +208,7 @@
                 offer.memory_gb,
                 set(self._cached_images[machine]),
             )
-            self.capacities[machine] = self.capacities_by_zone[where][machine] = capacity
+            self.capacities[machine] = self.capacities_by_zone[zone_index][machine] = capacity
             for allocation, count in self._assigned[machine].items():
                 capacity.book(self.jobs[allocation.job].requirements, count)
         capacity.schedulable = record.schedulable
