--- a/spurarch/coordination/scheduling/best_fit.py
+++ b/spurarch/coordination/scheduling/best_fit.py
@@ -1,12 +1,12 @@
-"""Best fit: which machine a new task is placed on. Pure functions over the tables of `fleet.capacity`.
+"""Best-fit placement: chooses machines for new tasks. Pure functions over the tables of `fleet.capacity`.
 
-The fullest machine that fits is chosen. Two refinements: a machine that has the image comes first, because fetching
-an image costs more than any difference in fullness; and of two machines of the same fullness the smaller one comes
-first, which keeps large gaps whole for large tasks. Bookings may fill a machine completely: the cap of 70% in the
-paper that this rule is taken from (IV-A) is on measured use.
+Best fit chooses the fullest machine that fits, with two refinements. Machines that have the image come first, because
+fetching an image costs more than any difference in fullness. Among machines of equal fullness the smaller one comes
+first, so that large blocks of free capacity remain for large tasks. Bookings may use all of a machine: the 70% cap in
+the paper that this rule is based on (section IV-A) applies to measured use.
 
-Equal tasks are placed as a group: the machine that took one is fuller than before, so it stays the best fit until it
-is full, and sorting once gives what one search for each task would give.
+Equal tasks are placed as a group. A machine that received one of them is fuller than before and stays the best fit
+until it is full, so sorting the machines once gives the same result as a search for each task.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 def fitting(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> list[MachineCapacity]:
-    """The machines where such a task may run and has room.
+    """Returns the machines on which the task may run and has enough free capacity.
 
-    The same as `MachineCapacity.fits` of each, in one expression: it runs for every machine and every kind of task,
-    and the calls were most of its cost.
+    Equivalent to `MachineCapacity.fits` for each machine, but written as one expression: this runs for every machine
+    and every kind of task, and the method calls were most of its cost.
     """
     cpus, gpus, memory = requirements.cpus - EPSILON, requirements.gpus - EPSILON, requirements.memory_gb - EPSILON
     types, zones, spot = requirements.types, requirements.zones, requirements.spot
@@ -37,7 +37,7 @@
 
 
 def _best_fit_key(requirements: Requirements) -> Callable[[MachineCapacity], tuple[bool, float, float]]:
-    """Sort key: machines with the image first, then the fullest, then the smallest."""
+    """Returns a sort key: machines with the image first, then the fullest, then the smallest."""
     cpus, image = requirements.cpus, requirements.image
 
     def key(capacity: MachineCapacity) -> tuple[bool, float, float]:
@@ -48,33 +48,33 @@
 
 
 def best_fit(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> MachineCapacity | None:
-    """The machine for a new task, or None if it fits nowhere."""
+    """Returns the best machine for a new task, or None if the task fits on none."""
     return min(fitting(requirements, capacities), key=_best_fit_key(requirements), default=None)
 
 
 def fill(
     requirements: Requirements, capacities: Iterable[MachineCapacity], count: int, bookings: TentativeBookings
 ) -> list[tuple[MachineCapacity, int]]:
-    """Books up to `count` equal tasks by best fit; says how many went where."""
-    out: list[tuple[MachineCapacity, int]] = []
+    """Books up to `count` equal tasks by best fit and returns each machine with its number of booked tasks."""
+    placed: list[tuple[MachineCapacity, int]] = []
     if count == 1:
         capacity = best_fit(requirements, capacities)
         if capacity is not None:
             bookings.book(capacity, requirements)
-            out.append((capacity, 1))
-        return out
+            placed.append((capacity, 1))
+        return placed
     for capacity in sorted(fitting(requirements, capacities), key=_best_fit_key(requirements)):
         if count <= 0:
             break
-        taken = capacity.task_slots(requirements, count)
-        bookings.book(capacity, requirements, taken)
-        out.append((capacity, taken))
-        count -= taken
-    return out
+        slots = capacity.task_slots(requirements, count)
+        bookings.book(capacity, requirements, slots)
+        placed.append((capacity, slots))
+        count -= slots
+    return placed
 
 
 def all_fit(requirements: Requirements, capacities: Iterable[MachineCapacity], count: int) -> bool:
-    """Whether `count` such tasks fit at once."""
+    """Returns whether `count` such tasks fit on the machines at the same time."""
     for capacity in capacities:
         if count <= 0:
             break
@@ -84,22 +84,24 @@
 
 
 def machine_to_reserve(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> MachineCapacity | None:
-    """The machine to keep free of newcomers so that room for a large task gathers: the one with the most of it.
+    """Returns the machine to reserve for a large task, or None if the task would fit on none even when empty.
 
-    As its tasks end it stays the one with the most room, so the choice lasts from round to round.
+    New tasks are not placed on a reserved machine, so it frees capacity as its tasks end. The machine with the most
+    free CPUs is chosen. It still has the most as its tasks end, so later rounds choose it again.
     """
-    able = (capacity for capacity in capacities if capacity.fits_when_empty(requirements))
-    return max(able, key=lambda capacity: (capacity.free_cpus, -capacity.machine), default=None)
+    candidates = (capacity for capacity in capacities if capacity.fits_when_empty(requirements))
+    return max(candidates, key=lambda capacity: (capacity.free_cpus, -capacity.machine), default=None)
 
 
 def machines_to_reserve(
     requirements: Requirements, capacities: Iterable[MachineCapacity], count: int
 ) -> list[MachineCapacity]:
-    """Machines to keep free of newcomers so that room for `count` tasks gathers on them; none if it never would.
+    """Returns machines to reserve until `count` tasks fit on them, or an empty list if they never would.
 
-    Those with the image come first, then those with the most room already: fewer tasks have to end there.
+    New tasks are not placed on reserved machines, which free capacity as their tasks end. Machines that have the image
+    come first, then those with the most free slots, where fewer running tasks have to end.
     """
-    able = sorted(
+    candidates = sorted(
         (capacity for capacity in capacities if capacity.allows(requirements)),
         key=lambda capacity: (
             requirements.image not in capacity.images,
@@ -108,12 +110,12 @@
             capacity.machine,
         ),
     )
-    out: list[MachineCapacity] = []
-    for capacity in able:
+    reserved: list[MachineCapacity] = []
+    for capacity in candidates:
         slots = capacity.slots_after_preemption(requirements, count)
         if slots:
-            out.append(capacity)
+            reserved.append(capacity)
             count -= slots
         if count <= 0:
-            return out
+            return reserved
     return []
--- a/spurarch/coordination/scheduling/local_search.py
+++ b/spurarch/coordination/scheduling/local_search.py
@@ -1,4 +1,4 @@
-"""The round's refinement of a partition: Tabu search over service replicas, and consolidation. Pure."""
+"""Periodic refinement of a partition's placement: Tabu search over service replicas, and consolidation. Pure."""
 
 from __future__ import annotations
 
@@ -18,145 +18,172 @@
 
 @dataclass(slots=True)
 class Refinement:
-    """Moves (task and target machine) and a machine to be emptied."""
+    """Replicas to migrate and a machine to drain.
+
+    Attributes:
+        moves: Attempts to migrate, each with the name of its target machine.
+        empty: Name of the machine to drain, or None.
+        search: Result of the Tabu search, or None if it did not run.
+    """
 
     moves: list[tuple[TaskAttempt, str]] = field(default_factory=list)
     empty: str | None = None
     search: SearchResult | None = None
 
 
-def movable(partition: Partition, view: FleetView, tuning: Tuning) -> set[tuple[str, int]]:
-    """Running service replicas that may stop without their service falling below its minimum.
+def movable_replicas(partition: Partition, view: FleetView, tuning: Tuning) -> set[tuple[str, int]]:
+    """Returns the running service replicas that may stop while their service stays at or above its minimum.
 
-    A replica without work to go back to stays while its job is cancelled; one replica of a service moves at a time.
+    At most one replica of a service moves at a time. A service with an attempt that is starting or stopping has none
+    to move, so replicas of a cancelled job, which would not start again, are not migrated either.
     """
-    stopping = {
+    changing_jobs = {
         attempt.allocation.job
         for attempt in partition.attempts.values()
         if attempt.stop_requested or attempt.phase is not AttemptPhase.RUNNING
     }
-    moved: set[str] = set()
-    out = set()
+    moving_jobs: set[str] = set()
+    movable = set()
     for key, attempt in partition.attempts.items():
         job_view = view.jobs.get(attempt.allocation.job)
         if (
             job_view is None
             or not job_view.service
-            or attempt.allocation.job in stopping
-            or attempt.allocation.job in moved
+            or attempt.allocation.job in changing_jobs
+            or attempt.allocation.job in moving_jobs
         ):
             continue
         if job_view.assigned - 1 >= floor(job_view.tasks * tuning.service_minimum):
-            out.add(key)
-            moved.add(attempt.allocation.job)  # one at a time
-    return out
+            movable.add(key)
+            moving_jobs.add(attempt.allocation.job)
+    return movable
 
 
 def refine(
-    partition: Partition, view: FleetView, tuning: Tuning, now: float, random: Random, late: Callable[[], bool]
+    partition: Partition, view: FleetView, tuning: Tuning, now: float, random: Random, out_of_time: Callable[[], bool]
 ) -> Refinement:
-    """One round of a partition."""
-    out = Refinement()
-    names, capacities, tasks, attempts = _tables(partition, view, tuning)
+    """Chooses a machine to drain and replicas to migrate, at most `moves_per_round` of them."""
+    refinement = Refinement()
+    machine_names, capacities, tasks, attempts = _search_tables(partition, view, tuning)
     if tuning.consolidation_cap > 0 and not partition.unassigned:
-        out.empty = _to_empty(partition, names, capacities, tasks, tuning, now)
-    emptying = frozenset(i for i, name in enumerate(names) if partition.machines[name].draining or name == out.empty)
-    if out.empty is not None:
-        out.moves += _move_off(names, capacities, tasks, attempts, names.index(out.empty), emptying, tuning)
-    if any(t.movable for t in tasks) and len(out.moves) < tuning.moves_per_round:
+        refinement.empty = _machine_to_drain(partition, machine_names, capacities, tasks, tuning, now)
+    draining_machines = frozenset(
+        i for i, name in enumerate(machine_names) if partition.machines[name].draining or name == refinement.empty
+    )
+    if refinement.empty is not None:
+        refinement.moves += _drain_moves(
+            machine_names,
+            capacities,
+            tasks,
+            attempts,
+            machine_names.index(refinement.empty),
+            draining_machines,
+            tuning,
+        )
+    if any(t.movable for t in tasks) and len(refinement.moves) < tuning.moves_per_round:
         weights = Weights(tuning.edge_weight, tuning.imbalance_weight, tuning.move_weight)
-        search = Search(capacities, tasks, emptying, weights)
-        out.search = search.run(
+        search = Search(capacities, tasks, draining_machines, weights)
+        refinement.search = search.run(
             random,
             tuning.tabu_iterations,
             tuning.tabu_stall_limit,
             tuning.tabu_tenure,
-            tuning.moves_per_round - len(out.moves),
+            tuning.moves_per_round - len(refinement.moves),
             tuning.margin,
-            late,
+            out_of_time,
         )
-        out.moves += [(attempts[m.task], names[m.target]) for m in out.search.moves]
-    return out
+        refinement.moves += [(attempts[m.task], machine_names[m.target]) for m in refinement.search.moves]
+    return refinement
 
 
-def _tables(
+def _search_tables(
     partition: Partition, view: FleetView, tuning: Tuning
 ) -> tuple[list[str], list[MachineCapacity], list[Replica], list[TaskAttempt]]:
-    """Dense tables of the partition's machines and of the tasks on them."""
-    names: list[str] = []
+    """Returns machine names, machine capacities, tasks and attempts of the partition.
+
+    Names and capacities have the same indices, and so have tasks and attempts. The capacities are copies.
+    """
+    machine_names: list[str] = []
     capacities: list[MachineCapacity] = []
     for capacity in view.capacities_by_zone[view.zones.index(partition.zone)].values():
         name = view.machines.name(capacity.machine)
         machine = partition.machines.get(name)
         if machine is not None and machine.state is MachineState.ACTIVE and not machine.releasing:
-            names.append(name)
+            machine_names.append(name)
             copy = capacity.copy()
-            # The records only say that a task with the image was sent there; it may never have been fetched whole.
+            # The records only show that a task with the image was assigned to the machine; the image may not have
+            # been fetched completely.
             copy.images = machine.cached_images
             capacities.append(copy)
-    index = {name: i for i, name in enumerate(names)}
-    free_to_move = movable(partition, view, tuning)
+    machine_indices = {name: i for i, name in enumerate(machine_names)}
+    movable = movable_replicas(partition, view, tuning)
     tasks: list[Replica] = []
     attempts: list[TaskAttempt] = []
     for key, attempt in partition.attempts.items():
         job = view.jobs.get(attempt.allocation.job)
-        if job is not None and attempt.machine in index and attempt.phase < AttemptPhase.EXITED:
-            at = index[attempt.machine]
-            tasks.append(Replica(len(attempts), job.requirements, at, at, key in free_to_move, job.service or job.gang))
+        if job is not None and attempt.machine in machine_indices and attempt.phase < AttemptPhase.EXITED:
+            index = machine_indices[attempt.machine]
+            tasks.append(
+                Replica(len(attempts), job.requirements, index, index, key in movable, job.service or job.gang)
+            )
             attempts.append(attempt)
-    for i, name in enumerate(names):
+    for i, name in enumerate(machine_names):
         if not partition.machines[name].schedulable:
-            capacities[i].free_cpus = -1.0  # takes nothing
-    return names, capacities, tasks, attempts
+            capacities[i].free_cpus = -1.0  # no task fits
+    return machine_names, capacities, tasks, attempts
 
 
-def _to_empty(
+def _machine_to_drain(
     partition: Partition,
-    names: list[str],
+    machine_names: list[str],
     capacities: list[MachineCapacity],
     tasks: list[Replica],
     tuning: Tuning,
     now: float,
 ) -> str | None:
-    """The least booked machine, if all that must leave it may, and the rest stays under the cap of booked CPU."""
-    open_rooms = [i for i, name in enumerate(names) if partition.machines[name].is_schedulable(now)]
-    booked = sum(capacities[i].cpus - capacities[i].free_cpus for i in open_rooms)
-    total = sum(capacities[i].cpus for i in open_rooms)
-    owned: dict[int, list[Replica]] = {}
+    """Returns the machine with the fewest booked CPUs that may be drained, or None.
+
+    A machine may be drained if all its long-running tasks are movable and the CPUs booked in the partition stay within
+    the consolidation cap of the remaining machines.
+    """
+    schedulable = [i for i, name in enumerate(machine_names) if partition.machines[name].is_schedulable(now)]
+    booked_cpus = sum(capacities[i].cpus - capacities[i].free_cpus for i in schedulable)
+    total_cpus = sum(capacities[i].cpus for i in schedulable)
+    tasks_by_machine: dict[int, list[Replica]] = {}
     for task in tasks:
-        owned.setdefault(task.at, []).append(task)
-    for i in sorted(open_rooms, key=lambda i: capacities[i].cpus - capacities[i].free_cpus):
-        mine = owned.get(i, [])
-        if not mine or booked > tuning.consolidation_cap * (total - capacities[i].cpus):
+        tasks_by_machine.setdefault(task.at, []).append(task)
+    for i in sorted(schedulable, key=lambda i: capacities[i].cpus - capacities[i].free_cpus):
+        machine_tasks = tasks_by_machine.get(i, [])
+        if not machine_tasks or booked_cpus > tuning.consolidation_cap * (total_cpus - capacities[i].cpus):
             continue
-        if all(t.movable or not t.service for t in mine):
-            return names[i]
+        if all(t.movable or not t.long_running for t in machine_tasks):
+            return machine_names[i]
     return None
 
 
-def _move_off(
-    names: list[str],
+def _drain_moves(
+    machine_names: list[str],
     capacities: list[MachineCapacity],
     tasks: list[Replica],
     attempts: list[TaskAttempt],
     source: int,
-    emptying: frozenset[int],
+    draining_machines: frozenset[int],
     tuning: Tuning,
 ) -> list[tuple[TaskAttempt, str]]:
-    """Moves of the replicas on a machine that is emptied; its other tasks run to their end there."""
-    out: list[tuple[TaskAttempt, str]] = []
+    """Returns moves of the replicas on a machine that is drained; its other tasks run to completion there."""
+    moves: list[tuple[TaskAttempt, str]] = []
     for task in tasks:
-        if task.at != source or not task.movable or len(out) >= tuning.moves_per_round:
+        if task.at != source or not task.movable or len(moves) >= tuning.moves_per_round:
             continue
         targets = [
-            r
-            for i, r in enumerate(capacities)
-            if i not in emptying and r.tasks > 0 and task.requirements.image in r.images
+            capacity
+            for i, capacity in enumerate(capacities)
+            if i not in draining_machines and capacity.tasks > 0 and task.requirements.image in capacity.images
         ]
-        capacity = best_fit(task.requirements, targets)
-        if capacity is not None:
-            capacity.book(task.requirements)
+        target = best_fit(task.requirements, targets)
+        if target is not None:
+            target.book(task.requirements)
             capacities[source].unbook(task.requirements)
             task.movable = False
-            out.append((attempts[task.task], names[capacities.index(capacity)]))
-    return out
+            moves.append((attempts[task.task], machine_names[capacities.index(target)]))
+    return moves
--- a/spurarch/coordination/scheduling/tabu_search.py
+++ b/spurarch/coordination/scheduling/tabu_search.py
@@ -1,10 +1,15 @@
-"""The paper's second tier (IV-C): Tabu search over moves of service replicas within a partition.
+"""Tabu search over moves of service replicas within one partition.
 
-It minimises alpha*EC + beta*IB + gamma*DV of the paper's Eq. 4. EC is zero here, since no traffic is known. IB is the
-mean relative gap between each machine's booked CPU, GPU and memory and their averages, over the machines that hold
-tasks and are not being emptied. DV is the share of moved tasks. Moves keep within capacity, never target an empty
-machine or one that would first have to fetch the image, and an entry of the tabu list is lifted when it would beat the
-best solution so far (aspiration).
+This is the second tier of the paper that the scheduler is based on (section IV-C). The search minimises the objective
+of the paper's Eq. 4, alpha*EC + beta*IB + gamma*DV:
+
+- EC, the edge cut, is zero here, since traffic between tasks is not recorded.
+- IB, the imbalance, is the mean relative deviation of each machine's booked CPUs, GPUs and memory from their averages
+  over the machines that have tasks and are not being drained.
+- DV is the share of tasks that are moved.
+
+Moves respect capacity and never target an empty machine or one that would first have to fetch the image. A tabu move
+is allowed if its result beats the best placement found so far (aspiration).
 """
 
 from __future__ import annotations
@@ -18,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Weights:
-    """Weights of the three terms. The edge cut's has nothing to weigh until traffic is known."""
+    """Weights of the three terms of the objective. That of the edge cut has no effect until traffic is recorded."""
 
     edge: float
     imbalance: float
@@ -27,19 +32,19 @@
 
 @dataclass(slots=True)
 class Replica:
-    """A task of the partition; one that is not movable only counts as load."""
+    """A task of the partition. Tasks that are not movable only count as load."""
 
-    task: int
+    task: int  # index of the task in the caller's tables
     requirements: Requirements
-    at: int  # index into the rooms
-    home: int
+    at: int  # index of its machine in the current placement
+    home: int  # index of its machine before the search
     movable: bool
-    service: bool = True
+    long_running: bool = True  # service replica or gang member: draining a machine can't rely on its end
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """One task's move between two rooms."""
+    """The move of one task between two machines, all as indices."""
 
     task: int
     source: int
@@ -48,7 +53,7 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """Moves of the best solution, and what the cost was and would be."""
+    """Moves to make, the cost before the search, and that of the best placement found."""
 
     moves: list[Move]
     before: float
@@ -59,31 +64,36 @@
 class Search:
     """One search over one partition.
 
-    A neighbour is judged by its difference: a move between two machines that both stay counted changes their two gaps
-    and leaves the averages as they are. Only a move that empties its source asks for the whole sum.
+    Neighbours are evaluated incrementally. A move between two machines that stay counted in the imbalance changes only
+    the deviations of these two and leaves the averages unchanged. A move from a machine that is being drained, or of
+    the last task on a machine, changes the averages and requires the full computation.
     """
 
     def __init__(
-        self, capacities: list[MachineCapacity], tasks: list[Replica], emptying: frozenset[int], weights: Weights
+        self,
+        capacities: list[MachineCapacity],
+        tasks: list[Replica],
+        draining_machines: frozenset[int],
+        weights: Weights,
     ) -> None:
         self.capacities, self.tasks, self.weights = capacities, tasks, weights
-        self._held = [0] * len(capacities)
+        self._task_counts = [0] * len(capacities)
         for task in tasks:
-            self._held[task.at] += 1
-        self._emptying = emptying
-        self._moved = 0
+            self._task_counts[task.at] += 1
+        self._draining_machines = draining_machines
+        self._moved_tasks = 0
 
     def _counted(self) -> list[int]:
-        """Machines that hold tasks and are not being emptied."""
-        return [i for i, owned in enumerate(self._held) if owned > 0 and i not in self._emptying]
+        """Returns the machines that have tasks and are not being drained."""
+        return [i for i, count in enumerate(self._task_counts) if count > 0 and i not in self._draining_machines]
 
     def imbalance(self) -> float:
-        """IB: over booked amounts, dimension by dimension; a dimension nobody uses counts as even."""
+        """Returns IB, averaged over the three resources. A resource that no task books counts as balanced."""
         total = 0.0
         counted = self._counted()
         if not counted:
             return 0.0
-        for booked in BOOKED:
+        for booked in BOOKED_RESOURCES:
             values = [booked(self.capacities[i]) for i in counted]
             mean = sum(values) / len(values)
             if mean > 0:
@@ -91,37 +101,45 @@
         return total / (len(counted) * 3)
 
     def cost(self) -> float:
-        """The paper's cost of the present placement."""
-        changed_keys = self._moved / len(self.tasks) if self.tasks else 0.0
-        return self.weights.imbalance * self.imbalance() + self.weights.move * changed_keys
+        """Returns the objective value of the current placement."""
+        moved_share = self._moved_tasks / len(self.tasks) if self.tasks else 0.0
+        return self.weights.imbalance * self.imbalance() + self.weights.move * moved_share
 
     def _means(self, counted: list[int]) -> list[float]:
-        return [sum(booked(self.capacities[i]) for i in counted) / len(counted) for booked in BOOKED]
+        return [sum(booked(self.capacities[i]) for i in counted) / len(counted) for booked in BOOKED_RESOURCES]
 
-    def _cost_after(self, task: Replica, target: int, now: float, means: list[float], counted: int) -> float:
-        """The cost if a task moved, from the cost as it is."""
+    def _cost_after(
+        self, task: Replica, target: int, current_cost: float, means: list[float], counted_machines: int
+    ) -> float:
+        """Returns the cost if a task moved to the target, derived from the current cost where possible."""
         source = task.at
-        if source in self._emptying or self._held[source] == 1:
+        if source in self._draining_machines or self._task_counts[source] == 1:
             self._shift(task, target)
             cost = self.cost()
             self._shift(task, source)
             return cost
-        requirements, change = task.requirements, 0.0
+        requirements, deviation_change = task.requirements, 0.0
         for booked, mean, amount in zip(
-            BOOKED, means, (requirements.cpus, requirements.gpus, requirements.memory_gb), strict=True
+            BOOKED_RESOURCES, means, (requirements.cpus, requirements.gpus, requirements.memory_gb), strict=True
         ):
             if mean > 0 and amount > 0:
-                out, into = booked(self.capacities[source]) - mean, booked(self.capacities[target]) - mean
-                change += (abs(out - amount) - abs(out) + abs(into + amount) - abs(into)) / mean
-        moved = (target != task.home) - (source != task.home)
-        return now + self.weights.imbalance * change / (counted * 3) + self.weights.move * moved / len(self.tasks)
+                at_source, at_target = booked(self.capacities[source]) - mean, booked(self.capacities[target]) - mean
+                deviation_change += (
+                    abs(at_source - amount) - abs(at_source) + abs(at_target + amount) - abs(at_target)
+                ) / mean
+        moved_change = (target != task.home) - (source != task.home)
+        return (
+            current_cost
+            + self.weights.imbalance * deviation_change / (counted_machines * 3)
+            + self.weights.move * moved_change / len(self.tasks)
+        )
 
     def _shift(self, task: Replica, target: int) -> None:
         self.capacities[task.at].unbook(task.requirements)
         self.capacities[target].book(task.requirements)
-        self._held[task.at] -= 1
-        self._held[target] += 1
-        self._moved += (target != task.home) - (task.at != task.home)
+        self._task_counts[task.at] -= 1
+        self._task_counts[target] += 1
+        self._moved_tasks += (target != task.home) - (task.at != task.home)
         task.at = target
 
     def run(
@@ -130,51 +148,62 @@
         iterations: int,
         stall_limit: int,
         tenure: int,
-        most_moves: int,
+        max_moves: int,
         margin: float,
         out_of_time: Callable[[], bool],
     ) -> SearchResult:
-        """Searches, and returns the moves of the best placement found if it is better by the margin."""
-        before = best = self.cost()
-        best_at = [t.at for t in self.tasks]
-        tabu: dict[tuple[int, int], int] = {}
-        since_best = step = 0
-        while step < iterations and since_best < stall_limit and not out_of_time():
-            choice = self._best_step(random, tabu, step, best, most_moves, out_of_time)
+        """Searches for a better placement and returns its moves.
+
+        Returns no moves if the cost improves by less than `margin`. The search ends after `iterations` steps, after
+        `stall_limit` steps without an improvement, or when out of time.
+        """
+        initial_cost = best_cost = self.cost()
+        best_machines = [t.at for t in self.tasks]
+        tabu_until: dict[tuple[int, int], int] = {}
+        stalled_steps = step = 0
+        while step < iterations and stalled_steps < stall_limit and not out_of_time():
+            choice = self._best_step(random, tabu_until, step, best_cost, max_moves, out_of_time)
             if choice is None:
                 break
             task, target, cost = choice
-            tabu[task.task, task.at] = step + tenure
+            tabu_until[task.task, task.at] = step + tenure
             self._shift(task, target)
-            since_best += 1
+            stalled_steps += 1
             step += 1
-            if cost < best - 1e-9:
-                best, since_best = cost, 0
-                best_at = [t.at for t in self.tasks]
-        moves = [Move(t.task, t.home, at) for t, at in zip(self.tasks, best_at, strict=True) if at != t.home]
-        if before - best < margin:
+            if cost < best_cost - 1e-9:
+                best_cost, stalled_steps = cost, 0
+                best_machines = [t.at for t in self.tasks]
+        moves = [
+            Move(t.task, t.home, machine)
+            for t, machine in zip(self.tasks, best_machines, strict=True)
+            if machine != t.home
+        ]
+        if initial_cost - best_cost < margin:
             moves = []
-        return SearchResult(moves, before, best, step)
+        return SearchResult(moves, initial_cost, best_cost, step)
 
     def _best_step(
         self,
         random: Random,
-        tabu: dict[tuple[int, int], int],
+        tabu_until: dict[tuple[int, int], int],
         step: int,
-        best: float,
-        most_moves: int,
+        best_cost: float,
+        max_moves: int,
         out_of_time: Callable[[], bool],
     ) -> tuple[Replica, int, float] | None:
-        """The cheapest neighbour that is not tabu, or is better than anything so far."""
+        """Returns the cheapest allowed neighbour as task, target machine and cost; None if there is none.
+
+        A neighbour is allowed if it is not tabu or costs less than the best placement found so far.
+        """
         chosen: tuple[Replica, int, float] | None = None
         order = [t for t in self.tasks if t.movable]
         random.shuffle(order)
-        counted, now = self._counted(), self.cost()
+        counted, current_cost = self._counted(), self.cost()
         means = self._means(counted) if counted else []
         for task in order:
             if out_of_time():
                 break
-            if self._moved >= most_moves and task.at == task.home:
+            if self._moved_tasks >= max_moves and task.at == task.home:
                 continue
             for target in counted:
                 capacity = self.capacities[target]
@@ -184,24 +213,24 @@
                     or task.requirements.image not in capacity.images
                 ):
                     continue
-                cost = self._cost_after(task, target, now, means, len(counted))
-                if tabu.get((task.task, target), -1) >= step and cost >= best - 1e-9:
+                cost = self._cost_after(task, target, current_cost, means, len(counted))
+                if tabu_until.get((task.task, target), -1) >= step and cost >= best_cost - 1e-9:
                     continue
                 if chosen is None or cost < chosen[2] - 1e-12:
                     chosen = task, target, cost
         return chosen
 
 
-def _cpus(capacity: MachineCapacity) -> float:
+def _booked_cpus(capacity: MachineCapacity) -> float:
     return capacity.cpus - capacity.free_cpus
 
 
-def _gpus(capacity: MachineCapacity) -> float:
+def _booked_gpus(capacity: MachineCapacity) -> float:
     return capacity.gpus - capacity.free_gpus
 
 
-def _memory(capacity: MachineCapacity) -> float:
+def _booked_memory(capacity: MachineCapacity) -> float:
     return capacity.memory_gb - capacity.free_memory_gb
 
 
-BOOKED = (_cpus, _gpus, _memory)
+BOOKED_RESOURCES = (_booked_cpus, _booked_gpus, _booked_memory)
