--- a/spurarch/coordination/scheduling/__init__.py
+++ b/spurarch/coordination/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Placement within a partition: best fit, preemption, Tabu search, consolidation. Pure decisions."""
+"""Placement within a partition: best fit, preemption, Tabu search, consolidation. Performs no I/O."""
--- a/spurarch/coordination/scheduling/guarantee_preemption.py
+++ b/spurarch/coordination/scheduling/guarantee_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption by guarantee: resources that a team borrowed are returned to teams within their guaranteed quota."""
+"""Preemption by guarantee: returns capacity that teams borrowed to teams that are within their guaranteed quota."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 from spurarch.coordination.partition.machine import TaskAttempt
 from spurarch.coordination.scheduling.placement_memory import TaskKey
 from spurarch.coordination.scheduling.placement_round import PlacementRound
-from spurarch.coordination.scheduling.preemption import PREEMPT_WAIT_S, Preemption
+from spurarch.coordination.scheduling.preemption import PREEMPTION_RESERVATION_S, Preemption
 
 
 class GuaranteePreemption:
-    """Stops during one round work that teams run beyond their guarantees."""
+    """Stops tasks that teams run beyond their guarantees during one round."""
 
     def __init__(self, current_round: PlacementRound, preemption: Preemption) -> None:
         self._round, self._preemption = current_round, preemption
         self._stopped_cpus: dict[int, float] = {}  # by team, stopped in this round
         self._candidates: list[TaskAttempt] | None = None
 
-    def make_room(self, key: TaskKey, job: JobView) -> bool:
+    def preempt_for_task(self, key: TaskKey, job: JobView) -> bool:
         """Stops one task that another team runs beyond its guarantee, for a job within its own team's guarantee.
 
-        That is the protocol's second rule of preemption. The youngest goes first; no team falls below its guarantee.
+        Returns whether a task was stopped. This is the second preemption rule of the protocol. The task that started
+        last is stopped first, and no team falls below its guarantee.
         """
         if self._candidates is None:
             self._candidates = self._collect_candidates()
@@ -34,19 +35,19 @@
                 continue
             if not preemption.is_stoppable(attempt):
                 continue
-            if not preemption.victims(job.requirements, capacity, [attempt]):
+            if not preemption.select_victims(job.requirements, capacity, [attempt]):
                 continue
             self._stopped_cpus[victim.team] = self._stopped_cpus.get(victim.team, 0.0) + victim.requirements.cpus
-            preemption.stop_for_task(key, job.requirements, [attempt], capacity, PREEMPT_WAIT_S)
+            preemption.stop_for_task(key, job.requirements, [attempt], capacity, PREEMPTION_RESERVATION_S)
             return True
         return False
 
     def _borrowed_cpus(self, team: int) -> float:
-        """CPUs that a team still borrows once this round's victims have stopped."""
+        """Returns the CPUs that a team still borrows after the tasks stopped in this round have ended."""
         return self._round.view.borrowed_cpus(team) - self._stopped_cpus.get(team, 0.0)
 
     def _collect_candidates(self) -> list[TaskAttempt]:
-        """Attempts of jobs that are not within their team's guarantee, the oldest first."""
+        """Returns the attempts of jobs beyond their team's guarantee, in the order in which they started to run."""
         view, preemption = self._round.view, self._preemption
         attempts = [
             attempt
--- a/spurarch/coordination/scheduling/moved_replicas.py
+++ b/spurarch/coordination/scheduling/moved_replicas.py
@@ -1,4 +1,7 @@
-"""Room for replicas that the local search moves: kept from other tasks until the replica has left its old machine."""
+"""Reserves capacity for service replicas that the local search migrates.
+
+The capacity on the target machine is reserved until the replica has left its original machine.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,23 @@
 
 
 class MovedReplicas:
-    """Reserves room on the targets of moves during one round."""
+    """Reserves capacity on the target machines of migrations during one round."""
 
     def __init__(self, current_round: PlacementRound) -> None:
         self._round = current_round
         self._reserved: dict[TaskKey, MachineCapacity] = {}
 
     def target(self, key: TaskKey, requirements: Requirements) -> MachineCapacity | None:
-        """The machine that the search chose for a moved replica, if it still fits there."""
-        target = self._round.memory.move_targets.get(key)
+        """Returns the target machine of a replica's migration, or None without one or if the replica doesn't fit."""
+        target = self._round.placement_state.move_targets.get(key)
         if target is None:
             return None
-        return self._round.capacities.find_with_room(target.machine, requirements)
+        return self._round.capacities.find_fitting(target.machine, requirements)
 
     def reserve(self) -> None:
-        """Books the room of replicas that have been told to stop, or have stopped, on their way to another machine."""
+        """Books capacity on target machines for replicas that are stopping or have left their original machine."""
         partition, view = self._round.partition, self._round.view
-        for key in self._round.memory.move_targets:
+        for key in self._round.placement_state.move_targets:
             job = view.jobs.get(key[0])
             if job is None:
                 continue
@@ -36,6 +39,6 @@
                 self._reserved[key] = capacity
 
     def release(self, job: JobView) -> None:
-        """Frees the room reserved for replicas of a job, since they are placed next."""
+        """Releases the capacity reserved for replicas of a job, which is placed next."""
         for key in [key for key in self._reserved if key[0] == job.job_id]:
             self._round.capacities.bookings.book(self._reserved.pop(key), job.requirements, -1)
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placing the waiting tasks of a partition: one round at a time, in order of rank, without input or output."""
+"""Placement of the waiting tasks of a partition: one round at a time, in order of rank. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from spurarch.coordination.scheduling.gang_placement import GangPlacement
 from spurarch.coordination.scheduling.guarantee_preemption import GuaranteePreemption
 from spurarch.coordination.scheduling.moved_replicas import MovedReplicas
-from spurarch.coordination.scheduling.placement_memory import MoveTarget, PlacementMemory, TaskKey
+from spurarch.coordination.scheduling.placement_memory import MoveTarget, PlacementState, TaskKey
 from spurarch.coordination.scheduling.placement_round import (
     AllocationEntries,
     PlacementResult,
@@ -32,7 +32,7 @@
 
 
 class TaskPlacer:
-    """Places the waiting tasks of one partition, round after round."""
+    """Places the waiting tasks of one partition in successive rounds."""
 
     def __init__(
         self, longest_wait_s: float = float("inf"), guarantee_wait_s: float = 0.0, max_silence_s: float = float("inf")
@@ -40,11 +40,11 @@
         self.pending_changes: AllocationEntries = {}  # decided in earlier rounds, not yet committed
         self.writes_scarce = False  # the rate limit of the state service leaves few writes
         self._settings = PlacementSettings(longest_wait_s, guarantee_wait_s, max_silence_s)
-        self._memory = PlacementMemory()
+        self._placement_state = PlacementState()
 
-    def move(self, key: TaskKey, machine: str, until: float) -> None:
-        """Keeps room for a replica on the machine that it is moved to, until the given monotonic time."""
-        self._memory.move_targets[key] = MoveTarget(machine, until)
+    def move(self, key: TaskKey, machine: str, expires_at: float) -> None:
+        """Reserves capacity for a replica on its target machine until the given time in monotonic seconds."""
+        self._placement_state.move_targets[key] = MoveTarget(machine, expires_at)
 
     def run_round(
         self,
@@ -55,11 +55,15 @@
         max_allocations: int,
         wall_time: float = 0.0,
     ) -> PlacementResult:
-        """Runs one round; what the time or the number of changed allocations cuts off comes first in the next."""
-        memory = self._memory
-        memory.expire(now, {allocation.job for allocation in partition.unassigned})
+        """Runs one round.
+
+        The round ends early when it is out of time or has changed `max_allocations` allocations. Its result is then
+        marked as unfinished, and the next round continues with the remaining allocations.
+        """
+        placement_state = self._placement_state
+        placement_state.expire(now, {allocation.job for allocation in partition.unassigned})
         current_round = PlacementRound(
-            partition, view, self._settings, memory, self.pending_changes, self.writes_scarce, now, wall_time
+            partition, view, self._settings, placement_state, self.pending_changes, self.writes_scarce, now, wall_time
         )
         try:
             _RankedPlacement(current_round).run(out_of_time, max_allocations)
@@ -67,9 +71,9 @@
             current_round.capacities.bookings.undo()
         result = current_round.result
         if _has_assignments(result):
-            memory.last_placed_at = now
+            placement_state.last_placed_at = now
         if not result.unfinished and not self.pending_changes:
-            memory.keep_only(current_round.waiting, partition.unassigned)
+            placement_state.keep_only(current_round.waiting, partition.unassigned)
         return result
 
 
@@ -77,8 +81,8 @@
     return any(entry.state == records.ASSIGNED for entries in result.entries.values() for entry in entries.values())
 
 
-class _Step(NamedTuple):
-    """Allocations of one priority that are placed one after another, in one way."""
+class _PlacementStep(NamedTuple):
+    """Allocations of one priority that are placed one after another, by the same function."""
 
     place: PlaceAllocation
     allocations: list[AllocationKey]
@@ -89,22 +93,22 @@
 
     def __init__(self, current_round: PlacementRound) -> None:
         self._round = current_round
-        returns = ReturnPolicy(current_round)
+        return_policy = ReturnPolicy(current_round)
         preemption = Preemption(current_round)
-        by_priority = PriorityPreemption(current_round, preemption)
-        by_guarantee = GuaranteePreemption(current_round, preemption)
+        priority_preemption = PriorityPreemption(current_round, preemption)
+        guarantee_preemption = GuaranteePreemption(current_round, preemption)
         self._moved_replicas = MovedReplicas(current_round)
-        self._arrays = ArrayPlacement(current_round, by_priority, by_guarantee, returns)
-        self._services = ServicePlacement(current_round, by_priority, self._moved_replicas, returns)
-        self._gangs = GangPlacement(current_round, by_priority, returns)
+        self._arrays = ArrayPlacement(current_round, priority_preemption, guarantee_preemption, return_policy)
+        self._services = ServicePlacement(current_round, priority_preemption, self._moved_replicas, return_policy)
+        self._gangs = GangPlacement(current_round, priority_preemption, return_policy)
 
     def run(self, out_of_time: Callable[[], bool], max_allocations: int) -> None:
-        """Places in order of rank, until time or the number of changed allocations runs out."""
-        self._release_terminal_attempts()
+        """Places allocations until all are handled, time runs out or `max_allocations` of them have changed."""
+        self._unbook_terminal_attempts()
         self._moved_replicas.reserve()
-        self._round.capacities.collect_with_room()
+        self._round.capacities.collect_with_free_cpus()
         self._book_pending_changes()
-        self._gangs.keep_reserved_machines()
+        self._gangs.apply_reservations()
         jobs = self._round.view.jobs
         ranks = {allocation: self._rank(allocation) for allocation in self._placeable()}
         by_rank = sorted(ranks, key=ranks.__getitem__)
@@ -116,8 +120,8 @@
                         return
                     step.place(allocation, jobs[allocation.job])
 
-    def _release_terminal_attempts(self) -> None:
-        """Terminal attempts make room at once, also those whose end is not recorded yet."""
+    def _unbook_terminal_attempts(self) -> None:
+        """Frees the capacity of terminal attempts at once, before their end is recorded."""
         capacities = self._round.capacities
         for allocation, attempts in self._round.partition.terminal_attempts.items():
             job = self._round.view.jobs.get(allocation.job)
@@ -127,7 +131,7 @@
                     capacities.bookings.book(capacity, job.requirements, -1)
 
     def _book_pending_changes(self) -> None:
-        """Assignments whose transaction waits for its turn have their room already."""
+        """Books the capacity of assignments that wait to be committed."""
         capacities = self._round.capacities
         for allocation, entries in self._round.pending_changes.items():
             job = self._round.view.jobs.get(allocation.job)
@@ -137,9 +141,10 @@
                     capacities.bookings.book(capacity, job.requirements)
 
     def _placeable(self) -> list[AllocationKey]:
-        """Allocations with waiting tasks that may be placed now.
+        """Returns the allocations with waiting tasks that may be placed now.
 
-        While changes of arrays wait to be committed, more of them can't be started, and their order may change.
+        Arrays are skipped while array changes wait to be committed: no further arrays can be started until then, and
+        their order may change.
         """
         jobs, pending = self._round.view.jobs, self._round.pending_changes
         return [
@@ -152,7 +157,7 @@
         ]
 
     def _may_start(self, job_id: str) -> bool:
-        """The job is live, and no backoff holds it."""
+        """Returns whether the job is live and not in backoff."""
         backoff = self._round.partition.backoffs.get(job_id)
         return is_live(self._round.view.state, job_id) and (backoff is None or backoff.not_before <= self._round.now)
 
@@ -160,12 +165,12 @@
         job = self._round.view.jobs[allocation.job]
         return self._round.view.ranking.rank(job, self._round.is_starving(job)), allocation.job, allocation.chunk
 
-    def _steps(self, allocations: list[AllocationKey]) -> list[_Step]:
-        """In which order work of one priority is placed.
+    def _steps(self, allocations: list[AllocationKey]) -> list[_PlacementStep]:
+        """Splits allocations of one priority into steps, in the order in which they are placed.
 
-        Where tasks wait for room, what matters is which of them gets a machine that becomes free: with the image there
-        it starts at once, without it fetches for seconds with the room idle. So a task that has waited for less than
-        its fetch would take leaves the room to one that has its image there.
+        While tasks wait for capacity, a machine that becomes free should go to a task whose image it has: that task
+        starts at once, whereas fetching an image leaves the capacity idle for seconds. A task whose wait is shorter
+        than the fetch of its image therefore yields to tasks whose image is cached on the machine.
         """
         jobs = self._round.view.jobs
         waiting_for_image: list[AllocationKey] = []
@@ -174,9 +179,9 @@
             waits = self._arrays.waits_for_image(allocation, jobs[allocation.job])
             (waiting_for_image if waits else others).append(allocation)
         return [
-            _Step(self._place, others),
-            _Step(self._arrays.place_where_image_is_cached, waiting_for_image),
-            _Step(self._place, waiting_for_image),
+            _PlacementStep(self._place, others),
+            _PlacementStep(self._arrays.place_where_image_is_cached, waiting_for_image),
+            _PlacementStep(self._place, waiting_for_image),
         ]
 
     def _place(self, allocation: AllocationKey, job: JobView) -> None:
--- a/spurarch/coordination/scheduling/placement_round.py
+++ b/spurarch/coordination/scheduling/placement_round.py
@@ -9,7 +9,7 @@
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.machine import TaskAttempt
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.placement_memory import PlacementMemory, TaskKey
+from spurarch.coordination.scheduling.placement_memory import PlacementState, TaskKey
 from spurarch.coordination.scheduling.round_capacities import RoundCapacities
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
@@ -19,16 +19,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementSettings:
-    """How long jobs, guaranteed resources and silent machines are waited for, in seconds."""
+    """Time limits of placement, in seconds."""
 
-    longest_wait_s: float  # a job of which nothing has run for longer goes before all others
-    guarantee_wait_s: float  # a task within its team's guarantee waits so long before it preempts
-    max_silence_s: float  # a machine without a heartbeat for longer takes no tasks
+    longest_wait_s: float  # a job that has waited longer without running any task is placed before all others
+    guarantee_wait_s: float  # how long a task within its team's guarantee waits before it preempts
+    max_silence_s: float  # a machine without a heartbeat for longer is given no tasks
 
 
 @dataclass(slots=True)
 class PlacementResult:
-    """Outcome of one round: entries to write, attempts to preempt, and whether the round was cut off."""
+    """Outcome of one round.
+
+    Attributes:
+        entries: Changed entries of allocation records, to be written.
+        preempt: Attempts to stop.
+        unfinished: Whether the round ended before it had handled every allocation.
+    """
 
     entries: AllocationEntries = field(default_factory=dict)
     preempt: list[TaskAttempt] = field(default_factory=list)
@@ -37,18 +43,18 @@
 
 @dataclass(slots=True, eq=False)
 class PlacementRound:
-    """One round of a partition: what it reads, and what it has decided so far."""
+    """One round of a partition: its inputs, and the decisions made so far."""
 
     partition: Partition
     view: FleetView
     settings: PlacementSettings
-    memory: PlacementMemory
+    placement_state: PlacementState
     pending_changes: AllocationEntries  # decided in earlier rounds, not yet committed
     writes_scarce: bool  # the rate limit of the state service leaves few writes
-    now: float
-    wall_time: float
+    now: float  # monotonic seconds
+    wall_time: float  # Unix seconds
     result: PlacementResult = field(default_factory=PlacementResult)
-    waiting: set[TaskKey] = field(default_factory=set)  # tasks that this round left without room
+    waiting: set[TaskKey] = field(default_factory=set)  # tasks that found no machine in this round
     capacities: RoundCapacities = field(init=False)
 
     def __post_init__(self) -> None:
@@ -56,35 +62,35 @@
         self.capacities = RoundCapacities(self.partition, self.view, self.now, self.settings.max_silence_s)
 
     def unplaced(self, allocation: AllocationKey) -> list[TaskEntry]:
-        """Tasks of the allocation that wait and have not been placed in this round."""
+        """Returns the waiting tasks of the allocation that have not been placed in this round."""
         placed = self.result.entries.get(allocation, {})
         return [entry for entry in self.partition.unassigned[allocation] if entry.index not in placed]
 
     def is_starving(self, job: JobView) -> bool:
-        """Nothing of the job has run for the longest wait."""
+        """Returns whether the job has waited for longer than `longest_wait_s` without running any task."""
         return job.is_starving(self.wall_time, self.settings.longest_wait_s)
 
     def assign(
         self, allocation: AllocationKey, entry: TaskEntry, capacity: MachineCapacity, attempt: int | None = None
     ) -> None:
-        """Assigns a task to a machine, as its next attempt or as that of its gang."""
+        """Assigns a task to a machine, under the given attempt number or, if that is None, the task's next one."""
         machine = self.capacities.machine_of(capacity)
         number = entry.attempt + 1 if attempt is None else attempt
         assigned = TaskEntry(entry.index, records.ASSIGNED, number, machine.name, machine.incarnation)
         self.result.entries.setdefault(allocation, {})[entry.index] = assigned
 
     def return_to_leader(self, allocation: AllocationKey, entry: TaskEntry) -> None:
-        """Gives a task back to the leader, which admits it to another partition."""
+        """Returns a task to the leader, which admits it to another partition."""
         returned = TaskEntry(entry.index, records.RETURNED, entry.attempt)
         self.result.entries.setdefault(allocation, {})[entry.index] = returned
 
-    def use_claimed_room(self, allocation: AllocationKey, job: JobView, entry: TaskEntry) -> bool:
-        """Assigns a task to the machine where room is being freed for it, or keeps that room until it is free.
+    def use_claimed_capacity(self, allocation: AllocationKey, job: JobView, entry: TaskEntry) -> bool:
+        """Assigns a task to the machine that it has a claim on, or books the capacity there until the task fits.
 
-        Returns False for a task without such a machine.
+        Returns False if the task has no valid claim.
         """
         key = allocation.job, entry.index
-        machine = self.memory.claimed_machine(key, self.now)
+        machine = self.placement_state.claimed_machine(key, self.now)
         capacity = self.capacities.find(machine) if machine is not None else None
         if capacity is None:
             return False
@@ -92,6 +98,6 @@
             self.assign(allocation, entry, capacity)
         else:
             self.waiting.add(key)
-        # Without this, tasks of lower rank in the queue would take the room the moment it is free.
+        # Without this booking, tasks of lower rank would take the capacity as soon as it is free.
         self.capacities.bookings.book(capacity, job.requirements)
         return True
--- a/spurarch/coordination/scheduling/preemption.py
+++ b/spurarch/coordination/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""What both kinds of preemption share: which attempts may be stopped, and what it takes to stop them."""
+"""Common parts of preemption by priority and by guarantee: which attempts may be stopped, and how they are stopped."""
 
 from __future__ import annotations
 
@@ -7,45 +7,48 @@
 from spurarch.coordination.scheduling.placement_memory import Claim, TaskKey
 from spurarch.coordination.scheduling.placement_round import PlacementRound
 
-PREEMPT_WAIT_S = 8.0  # for so long room is kept for the task that others are stopped for
+PREEMPTION_RESERVATION_S = 8.0  # how long preempted capacity is reserved for the task or gang that preempted
 
 
 class Preemption:
-    """The attempts that one round stops."""
+    """Selects and stops attempts during one round."""
 
     def __init__(self, current_round: PlacementRound) -> None:
         self._round = current_round
         self._stopped: set[TaskKey] = set()
 
     def is_stoppable(self, attempt: TaskAttempt) -> bool:
-        """The attempt neither stops already nor was chosen in this round."""
+        """Returns whether the attempt is not stopping yet and was not stopped in this round."""
         return not attempt.stop_requested and attempt.phase < AttemptPhase.STOPPING and attempt.key not in self._stopped
 
     def is_gang_member(self, attempt: TaskAttempt) -> bool:
-        """The attempt belongs to a gang, which stops as a whole."""
+        """Returns whether the attempt belongs to a gang, which stops as a whole."""
         return self._round.partition.gangs.get(attempt.allocation.job) is not None
 
     def requirements_of(self, attempt: TaskAttempt) -> Requirements:
-        """What the attempt's job requires for each task."""
+        """Returns the requirements of the attempt's task."""
         return self._round.view.jobs[attempt.allocation.job].requirements
 
-    def victims(
+    def select_victims(
         self, requirements: Requirements, capacity: MachineCapacity, candidates: list[TaskAttempt]
     ) -> list[TaskAttempt]:
-        """The first candidates that make room for the task by stopping; none if all of them are not enough."""
-        trial, chosen = TentativeBookings(), []
+        """Returns the first candidates whose stop lets the task fit on the machine.
+
+        Returns an empty list if the task would not fit after all of them have stopped.
+        """
+        bookings, victims = TentativeBookings(), []
         try:
             for attempt in candidates:
                 if capacity.fits(requirements):
                     break
-                trial.book(capacity, self.requirements_of(attempt), -1)
-                chosen.append(attempt)
-            return chosen if capacity.fits(requirements) else []
+                bookings.book(capacity, self.requirements_of(attempt), -1)
+                victims.append(attempt)
+            return victims if capacity.fits(requirements) else []
         finally:
-            trial.undo()
+            bookings.undo()
 
     def stop(self, attempts: list[TaskAttempt]) -> None:
-        """Stops attempts; what they have booked stays booked."""
+        """Stops attempts, without unbooking their capacity."""
         self._round.result.preempt += attempts
         self._stopped.update(attempt.key for attempt in attempts)
 
@@ -55,14 +58,14 @@
         requirements: Requirements,
         attempts: list[TaskAttempt],
         capacity: MachineCapacity,
-        wait_s: float,
+        reservation_s: float,
     ) -> None:
-        """Stops attempts on a machine and claims the room for a task, which goes there once it is free."""
+        """Stops attempts on a machine and claims their capacity for a task, which is placed there once it fits."""
         current_round = self._round
         current_round.waiting.add(key)
-        current_round.memory.claim(key, Claim(capacity.machine, current_round.now + wait_s))
+        current_round.placement_state.claim(key, Claim(capacity.machine, current_round.now + reservation_s))
         self.stop(attempts)
         bookings = current_round.capacities.bookings
         for attempt in attempts:
             bookings.book(capacity, self.requirements_of(attempt), -1)
-        bookings.book(capacity, requirements)  # nobody else may count on this room
+        bookings.book(capacity, requirements)  # no other task may use this capacity
--- a/spurarch/coordination/scheduling/priority_preemption.py
+++ b/spurarch/coordination/scheduling/priority_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption by priority: work of lower priority is stopped for work of higher priority that has no room."""
+"""Preemption by priority: stops tasks of lower priority for tasks of higher priority that fit on no machine."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from spurarch.coordination.partition.machine import TaskAttempt
 from spurarch.coordination.scheduling.placement_memory import TaskKey
 from spurarch.coordination.scheduling.placement_round import PlacementRound
-from spurarch.coordination.scheduling.preemption import PREEMPT_WAIT_S, Preemption
+from spurarch.coordination.scheduling.preemption import PREEMPTION_RESERVATION_S, Preemption
 
 HIGHEST_PRIORITY = 0
 
 
 class PriorityPreemption:
-    """Finds during one round the work of lower priority that costs least to stop."""
+    """Finds and stops tasks of lower priority during one round, as few of them as possible for one task."""
 
     def __init__(self, current_round: PlacementRound, preemption: Preemption) -> None:
         self._round, self._preemption = current_round, preemption
         self._has_lower_priority: dict[int, bool] = {}
-        self._without_victims: list[Requirements] = []
+        self._without_victims: list[Requirements] = []  # requirements for which no victims were found in this round
 
     def runs_lower_priority_work(self, priority: int) -> bool:
-        """Something of lower priority runs in the partition.
+        """Returns whether a task of lower priority is booked on a schedulable machine of the partition.
 
-        Asked once a round: to ask for every job that waits is jobs times machines, and took a fifth of an owner's time
-        in the first minute of a large fleet.
+        Computed once per round and priority. Computing it for every waiting job costs jobs times machines, which took
+        a fifth of an owner's time in the first minute of a large fleet.
         """
         if priority not in self._has_lower_priority:
             schedulable = self._round.capacities.schedulable
@@ -32,12 +32,12 @@
             self._has_lower_priority[priority] = any(cpus > EPSILON for cpus, *_ in used)
         return self._has_lower_priority[priority]
 
-    def make_room_on_any_machine(self, key: TaskKey, requirements: Requirements) -> bool:
-        """Stops work on any machine of the partition to make room for a task; False if that is not possible.
+    def preempt_for_task(self, key: TaskKey, requirements: Requirements) -> bool:
+        """Preempts on any machine of the partition for a task; returns False if that is not possible.
 
-        Room only shrinks in the course of a round, so what found nobody to stop is not looked for again by tasks that
-        require no less: to do so for every replica that waits took most of an owner's processor time while a large
-        fleet came up.
+        Capacity only shrinks during a round. Requirements for which no victims were found are therefore not searched
+        again, nor by tasks that require at least as much: searching for every waiting replica took most of an owner's
+        processor time while a large fleet started up.
         """
         if not self.runs_lower_priority_work(requirements.priority):
             return False
@@ -46,104 +46,108 @@
             for other in self._without_victims
         ):
             return False
-        if self.make_room(key, requirements, self._round.capacities.schedulable, PREEMPT_WAIT_S):
+        if self.preempt_on_one_of(key, requirements, self._round.capacities.schedulable, PREEMPTION_RESERVATION_S):
             return True
         self._without_victims.append(requirements)
         return False
 
-    def make_room(
-        self, key: TaskKey, requirements: Requirements, capacities: list[MachineCapacity], wait_s: float
+    def preempt_on_one_of(
+        self, key: TaskKey, requirements: Requirements, capacities: list[MachineCapacity], reservation_s: float
     ) -> bool:
-        """Stops the youngest tasks of lower priority on that one of the machines which loses the fewest of them."""
-        fewest: list[TaskAttempt] = []
+        """Preempts for a task on the given machine where the fewest tasks have to stop.
+
+        Tasks of the lowest priority are stopped first and, among them, those that started last. Returns False if the
+        task would fit on none of the machines.
+        """
+        victims: list[TaskAttempt] = []
         machine: MachineCapacity | None = None
         with_gangs = requirements.priority == HIGHEST_PRIORITY
         for capacity in capacities:
             if not capacity.fits_by_preemption(requirements):
                 continue
             candidates = self._candidates(requirements, capacity, with_gangs)
-            victims = self._preemption.victims(requirements, capacity, candidates)
-            if victims and (machine is None or self._tasks_lost(victims) < self._tasks_lost(fewest)):
-                fewest, machine = victims, capacity
-                if self._tasks_lost(fewest) == 1:
+            selected = self._preemption.select_victims(requirements, capacity, candidates)
+            if selected and (machine is None or self._stopped_tasks(selected) < self._stopped_tasks(victims)):
+                victims, machine = selected, capacity
+                if self._stopped_tasks(victims) == 1:
                     break
         if machine is None:
             return False
-        self._preemption.stop_for_task(key, requirements, fewest, machine, wait_s)
+        self._preemption.stop_for_task(key, requirements, victims, machine, reservation_s)
         return True
 
-    def make_room_for_gang(self, job: JobView, members: int) -> list[MachineCapacity]:
-        """Stops work of lower priority so that all members fit, and returns their machines.
+    def preempt_for_gang(self, job: JobView, members: int) -> list[MachineCapacity]:
+        """Stops tasks of lower priority so that all members fit, and returns the machines for the members.
 
-        Stops nothing and returns no machines if that is not enough. Other gangs are left alone: to stop one member
-        costs all of them.
+        Stops nothing and returns an empty list if the members would not all fit. Does not stop other gangs, since
+        stopping one member stops them all.
         """
-        requirements, left = job.requirements, members
+        requirements, remaining = job.requirements, members
         machines: list[MachineCapacity] = []
         victims: list[TaskAttempt] = []
-        trial = TentativeBookings()
+        bookings = TentativeBookings()
         by_free_cpus = sorted(
-            self._round.capacities.not_kept_for_gangs(),
+            self._round.capacities.not_reserved_for_gangs(),
             key=lambda capacity: (-capacity.free_cpus, capacity.machine),
         )
         try:
             for capacity in by_free_cpus:
-                chosen = self._stop_on_trial(trial, requirements, capacity, left)
-                slots = capacity.task_slots(requirements, left) if capacity.allows(requirements) else 0
+                selected = self._unbook_victims(bookings, requirements, capacity, remaining)
+                slots = capacity.task_slots(requirements, remaining) if capacity.allows(requirements) else 0
                 if slots:
                     machines.append(capacity)
-                    victims += chosen
-                    left -= slots
-                if left <= 0:
+                    victims += selected
+                    remaining -= slots
+                if remaining <= 0:
                     break
         finally:
-            trial.undo()
-        if left > 0:
+            bookings.undo()
+        if remaining > 0:
             return []
         self._preemption.stop(victims)
         return machines
 
-    def _stop_on_trial(
-        self, trial: TentativeBookings, requirements: Requirements, capacity: MachineCapacity, tasks: int
+    def _unbook_victims(
+        self, bookings: TentativeBookings, requirements: Requirements, capacity: MachineCapacity, tasks: int
     ) -> list[TaskAttempt]:
-        """Takes back bookings of lower priority on a machine until so many tasks fit, or none is left."""
-        chosen: list[TaskAttempt] = []
+        """Unbooks attempts of lower priority on a machine until `tasks` tasks fit or none is left; returns them."""
+        victims: list[TaskAttempt] = []
         for attempt in self._candidates(requirements, capacity, with_gangs=False):
             if capacity.task_slots(requirements, tasks) >= tasks:
                 break
-            trial.book(capacity, self._preemption.requirements_of(attempt), -1)
-            chosen.append(attempt)
-        return chosen
+            bookings.book(capacity, self._preemption.requirements_of(attempt), -1)
+            victims.append(attempt)
+        return victims
 
     def _candidates(self, requirements: Requirements, capacity: MachineCapacity, with_gangs: bool) -> list[TaskAttempt]:
-        """Attempts on a machine that may be stopped for work of a higher priority, in the order to stop them in.
+        """Returns the attempts on a machine that may be stopped for the task, in the order in which to stop them.
 
-        Members of gangs come last: each takes its whole gang with it.
+        Gang members come last, since stopping one stops its whole gang.
         """
         preemption = self._preemption
-        lower = [
+        candidates = [
             attempt
             for attempt in self._round.capacities.machine_of(capacity).attempts.values()
             if preemption.is_stoppable(attempt)
             and self._priority(attempt) > requirements.priority
             and (with_gangs or not preemption.is_gang_member(attempt))
         ]
-        lower.sort(
+        candidates.sort(
             key=lambda attempt: (
                 preemption.is_gang_member(attempt),
                 -self._priority(attempt),
                 -(attempt.running_at or self._round.now),
             )
         )
-        return lower
+        return candidates
 
     def _priority(self, attempt: TaskAttempt) -> int:
-        """The attempt's priority; that of a job that is not known is the highest, so that it is never stopped."""
+        """Returns the attempt's priority; attempts of unknown jobs have the highest, so they are never stopped."""
         job = self._round.view.jobs.get(attempt.allocation.job)
         return job.requirements.priority if job else HIGHEST_PRIORITY
 
-    def _tasks_lost(self, attempts: list[TaskAttempt]) -> int:
-        """How many tasks would stop with these, members of their gangs included."""
+    def _stopped_tasks(self, attempts: list[TaskAttempt]) -> int:
+        """Returns how many tasks stop with the attempts, including the other members of their gangs."""
         gang_sizes = {
             attempt.allocation.job: gang.size
             for attempt in attempts
--- a/spurarch/coordination/scheduling/round_capacities.py
+++ b/spurarch/coordination/scheduling/round_capacities.py
@@ -1,4 +1,4 @@
-"""The machines of a partition as one placement round sees them, with the bookings that the round has made so far."""
+"""The machines of a partition as one placement round sees them, with the bookings made so far in the round."""
 
 from __future__ import annotations
 
@@ -13,16 +13,23 @@
 class RoundCapacities:
     """Schedulable machines of one partition during one round.
 
-    The tables are shared with all other decisions: whoever runs the round undoes `bookings` at its end.
+    The capacity tables are shared with all other decisions, so the code that runs the round has to undo `bookings` at
+    its end.
+
+    Attributes:
+        bookings: The round's changes to the shared tables.
+        schedulable: Machines that take new tasks.
+        with_free_cpus: Machines for arrays: those with free CPUs that are not reserved for gangs.
+        reserved_for_gangs: Machines that are not used for arrays.
     """
 
     def __init__(self, partition: Partition, view: FleetView, now: float, max_silence_s: float) -> None:
         self.bookings = TentativeBookings()
-        self.with_room: list[MachineCapacity] = []  # for arrays: machines with free CPUs that are not kept for gangs
-        self.kept_for_gangs: list[MachineCapacity] = []
+        self.with_free_cpus: list[MachineCapacity] = []
+        self.reserved_for_gangs: list[MachineCapacity] = []
         self._partition, self._machine_names = partition, view.machines
         self.schedulable = self._schedulable_machines(view, now, max_silence_s)
-        self._without_room_for: list[Requirements] = []
+        self._unplaceable: list[Requirements] = []
 
     def _schedulable_machines(self, view: FleetView, now: float, max_silence_s: float) -> list[MachineCapacity]:
         schedulable = []
@@ -40,47 +47,47 @@
         return {self._machine_names.name(capacity.machine): capacity for capacity in self.schedulable}
 
     def find(self, machine: int) -> MachineCapacity | None:
-        """The schedulable machine with this index."""
+        """Returns the schedulable machine with this index, or None."""
         return next((capacity for capacity in self.schedulable if capacity.machine == machine), None)
 
-    def find_with_room(self, name: str, requirements: Requirements) -> MachineCapacity | None:
-        """The schedulable machine of this name, if the task fits there."""
+    def find_fitting(self, name: str, requirements: Requirements) -> MachineCapacity | None:
+        """Returns the schedulable machine of this name, or None if the task doesn't fit there."""
         for capacity in self.schedulable:
             if self._machine_names.name(capacity.machine) == name and capacity.fits(requirements):
                 return capacity
         return None
 
     def machine_of(self, capacity: MachineCapacity) -> Machine:
-        """The machine, as its partition knows it."""
+        """Returns the partition's state of the machine."""
         return self._partition.machines[self._machine_names.name(capacity.machine)]
 
-    def collect_with_room(self) -> None:
-        """Fills the list of machines with free CPUs from all schedulable ones."""
-        self.with_room = [capacity for capacity in self.schedulable if capacity.free_cpus > EPSILON]
+    def collect_with_free_cpus(self) -> None:
+        """Sets `with_free_cpus` to all schedulable machines with free CPUs."""
+        self.with_free_cpus = [capacity for capacity in self.schedulable if capacity.free_cpus > EPSILON]
 
     def drop_full_machines(self) -> None:
-        """Takes machines without free CPUs off the list of those with room."""
-        self.with_room = [capacity for capacity in self.with_room if capacity.free_cpus > EPSILON]
-
-    def keep_for_gangs(self, machines: frozenset[int]) -> None:
-        """Keeps machines from arrays."""
-        self.kept_for_gangs += [capacity for capacity in self.schedulable if capacity.machine in machines]
-        self.with_room = [capacity for capacity in self.with_room if capacity.machine not in machines]
-
-    def not_kept_for_gangs(self) -> list[MachineCapacity]:
-        """Schedulable machines that are not kept for a gang, with room or without."""
-        kept = {capacity.machine for capacity in self.kept_for_gangs}
-        return [capacity for capacity in self.schedulable if capacity.machine not in kept]
-
-    def close(self, closed: MachineCapacity) -> None:
-        """Places nothing more on a machine in this round."""
-        self.schedulable.remove(closed)
-        self.with_room = [capacity for capacity in self.with_room if capacity is not closed]
-
-    def record_no_room(self, requirements: Requirements) -> None:
-        """Remembers that a task with these requirements found no room."""
-        self._without_room_for.append(requirements)
-
-    def has_no_room_for(self, requirements: Requirements) -> bool:
-        """A task that requires no more than this one found no room in this round."""
-        return any(requirements.requires_at_least(other) for other in self._without_room_for)
+        """Removes machines without free CPUs from `with_free_cpus`."""
+        self.with_free_cpus = [capacity for capacity in self.with_free_cpus if capacity.free_cpus > EPSILON]
+
+    def reserve_for_gangs(self, machines: frozenset[int]) -> None:
+        """Reserves machines for gangs, so that arrays are not placed on them."""
+        self.reserved_for_gangs += [capacity for capacity in self.schedulable if capacity.machine in machines]
+        self.with_free_cpus = [capacity for capacity in self.with_free_cpus if capacity.machine not in machines]
+
+    def not_reserved_for_gangs(self) -> list[MachineCapacity]:
+        """Returns the schedulable machines that are not reserved for gangs, full or not."""
+        reserved = {capacity.machine for capacity in self.reserved_for_gangs}
+        return [capacity for capacity in self.schedulable if capacity.machine not in reserved]
+
+    def exclude(self, excluded: MachineCapacity) -> None:
+        """Excludes a machine from placement for the rest of the round."""
+        self.schedulable.remove(excluded)
+        self.with_free_cpus = [capacity for capacity in self.with_free_cpus if capacity is not excluded]
+
+    def record_unplaceable(self, requirements: Requirements) -> None:
+        """Records that a task with these requirements fitted on no machine in this round."""
+        self._unplaceable.append(requirements)
+
+    def is_unplaceable(self, requirements: Requirements) -> bool:
+        """Returns whether a task that requires no more than this one fitted on no machine in this round."""
+        return any(requirements.requires_at_least(other) for other in self._unplaceable)
--- a/spurarch/coordination/scheduling/task_return.py
+++ b/spurarch/coordination/scheduling/task_return.py
@@ -1,4 +1,4 @@
-"""When a task without room goes back to the leader, which may admit it to another partition."""
+"""Decides when a task that fits on no machine is returned to the leader, which may admit it to another partition."""
 
 from __future__ import annotations
 
@@ -9,47 +9,52 @@
 from spurarch.coordination.scheduling.best_fit import all_fit
 from spurarch.coordination.scheduling.placement_round import PlacementRound
 
-RETURN_AFTER_S = 1.0  # a task without room here, that would have some elsewhere
-RETURN_AFTER_SCARCE_S = 5.0  # the same while writes are scarce
-STUCK_AFTER_S = 45.0  # a task without room anywhere: for so long nothing in the queue has moved
-CAPACITY_GROWTH_S = 10.0  # for so long after a machine came up, more of them are expected
-MAX_SLOTS = 100  # counted on one machine
+RETURN_AFTER_S = 1.0  # minimum wait of a task that fits on no machine here but on one of another partition
+RETURN_AFTER_SCARCE_S = 5.0  # the same minimum wait while the rate limit of the state service leaves few writes
+STUCK_AFTER_S = 45.0  # time without progress in the queue after which tasks are returned even if they fit nowhere
+CAPACITY_GROWTH_S = 10.0  # after a machine became active, more are expected to follow within this time
+MAX_SLOTS_PER_MACHINE = 100  # more slots on one machine are not counted
 
 
 class ReturnPolicy:
-    """Decides during one round which waiting tasks are given back."""
+    """Decides during one round which waiting tasks are returned to the leader."""
 
     def __init__(self, current_round: PlacementRound) -> None:
         self._round = current_round
-        self._slots_elsewhere: dict[tuple[object, ...], int] = {}  # left in other partitions, by shape of task
+        self._slots_elsewhere: dict[tuple[object, ...], int] = {}  # remaining slots in other partitions, by task shape
         self._queued_cpus: dict[int, dict[int, float]] | None = None  # by zone and priority
 
     def max_wait_s(self) -> float:
-        """How long a task waits before it may be given back: it takes four writes to bring it elsewhere."""
+        """Returns how many seconds a task waits before it may be returned.
+
+        The wait is longer while writes are scarce, since moving a task to another partition takes four writes.
+        """
         if self._round.writes_scarce and not self._round.partition.unreachable:
             return RETURN_AFTER_SCARCE_S
         return RETURN_AFTER_S
 
-    def is_stuck(self, since: float) -> bool:
-        """Nothing in the queue has moved, for a task that has waited since then.
+    def is_stuck(self, waiting_since: float) -> bool:
+        """Returns whether a task that has waited since the given time can't expect to be placed here.
 
-        Machines that were to come up here are late, others took the room, or the zone is unreachable.
+        This is the case if the zone is unreachable, or if for `STUCK_AFTER_S` no task was placed and no machine became
+        active: machines that were to boot here are late, or other tasks used their capacity.
         """
         partition = self._round.partition
         if partition.unreachable:
             return True
-        last_progress = max(since, self._round.memory.last_placed_at, partition.capacity_added_at)
+        last_progress = max(waiting_since, self._round.placement_state.last_placed_at, partition.capacity_added_at)
         return self._round.now - last_progress > STUCK_AFTER_S
 
     def fits_elsewhere(self, job: JobView) -> bool:
-        """The task would fit on a machine of another partition, for a replica also by preemption there.
+        """Returns whether another partition has a slot for the task, and uses up that slot for this round.
 
-        Room that another partition's own queue will take counts for nothing: while machines come up everywhere, each
-        partition would send its tasks after the room of the others. Each slot found is counted once: if everything
-        that waits here went after the same few slots, most of it would come back, at four writes each.
+        For a replica, slots that preemption would free there count too. Slots that the other partition's own queue will
+        use don't count: otherwise, while machines boot in all zones, each partition would return its tasks for the
+        capacity of the others. Each slot counts for one task: if all tasks that wait here were returned for the same
+        few slots, most of them would be returned again, at four writes each.
         """
         if self._round.writes_scarce and self._round.now - self._round.partition.capacity_added_at < CAPACITY_GROWTH_S:
-            return False  # machines come up here too, and moving a task costs more than the wait
+            return False  # machines are becoming active here too, and moving a task costs more than waiting for them
         shape = (*job.requirements.shape, job.service)
         if shape not in self._slots_elsewhere:
             self._slots_elsewhere[shape] = self._count_slots_elsewhere(job)
@@ -57,19 +62,19 @@
         return self._slots_elsewhere[shape] >= 0
 
     def gang_fits_elsewhere(self, job: JobView, gang: GangAttempt) -> bool:
-        """Another partition has room for the whole gang."""
+        """Returns whether the whole gang fits in another partition."""
         view = self._round.view
-        here = view.zones.index(self._round.partition.zone)
+        own_zone = view.zones.index(self._round.partition.zone)
         unreachable = set(map(view.zones.index, view.unreachable_zones()))
         for zone, capacities in view.capacities_by_zone.items():
-            if zone != here and zone not in unreachable:
+            if zone != own_zone and zone not in unreachable:
                 schedulable = [capacity for capacity in capacities.values() if capacity.schedulable]
                 if all_fit(job.requirements, schedulable, gang.size):
                     return True
         return False
 
     def _count_slots_elsewhere(self, job: JobView) -> int:
-        """Slots for tasks of the job in other partitions, without those that the queues there will take."""
+        """Returns the slots for tasks of the job in other partitions, without those that the queues there will use."""
         view, requirements = self._round.view, job.requirements
         queued_cpus = self._queued_cpus_by_zone(requirements.priority)
         excluded = set(map(view.zones.index, (self._round.partition.zone, *view.unreachable_zones())))
@@ -78,7 +83,7 @@
             if not capacity.schedulable or capacity.zone in excluded or not capacity.allows(requirements):
                 continue
             if capacity.fits(requirements):
-                count = capacity.task_slots(requirements, MAX_SLOTS)
+                count = capacity.task_slots(requirements, MAX_SLOTS_PER_MACHINE)
             else:
                 count = int(job.service and capacity.fits_by_preemption(requirements))
             slots[capacity.zone] = slots.get(capacity.zone, 0) + count
@@ -87,7 +92,7 @@
         return sum(max(0, count - int(queued_cpus[zone] / requirements.cpus)) for zone, count in slots.items())
 
     def _queued_cpus_by_zone(self, priority: int) -> dict[int, float]:
-        """CPUs of admitted tasks of no lower priority that wait for room, by zone."""
+        """Returns by zone the CPUs required by unassigned tasks of the given or a higher priority."""
         if self._queued_cpus is None:
             self._queued_cpus = self._collect_queued_cpus()
         by_zone: dict[int, float] = defaultdict(float)
