--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -1,4 +1,4 @@
-"""Which commands a worker needs now: starts, stops, and ends that it may forget."""
+"""Plans the commands that a worker needs: starts, stops, and exited tasks that it may forget."""
 
 from __future__ import annotations
 
@@ -6,31 +6,32 @@
 from spurarch.coordination.partition.state import ArchiveCoverage, PartitionContext, PartitionState
 from spurarch.protocol import wire
 
-UNARCHIVED_MOST = 64  # ended tasks of one machine that wait for the archive; its heartbeats grow by them
-CHECKPOINT_MARGIN_S = 10.0  # beyond its grace period, before a task that was told to checkpoint is told once more
+MAX_UNARCHIVED_EXITS = 64  # exited tasks of one machine that wait for the archive and enlarge its heartbeats
+CHECKPOINT_MARGIN_S = 10.0  # after the end of the grace period, until the stop of a checkpointing task is repeated
 
 
 class CommandPlanner:
-    """Works out the commands of one machine from the tables."""
+    """Plans the commands of a machine from the partition's tables."""
 
     def __init__(self, state: PartitionState, context: PartitionContext) -> None:
         self._state, self._context = state, context
 
     def plan(self, machine: Machine, heartbeat: wire.Heartbeat | None) -> list[wire.Command]:
-        """What the worker should do now. Every command may be repeated, but a start after a forget.
+        """Returns the commands that the worker needs now.
 
-        Ends are forgotten first, so that a worker does not refuse a task whose earlier attempt it still lists.
+        All of them are idempotent, except that a start repeated after a forget runs the attempt again. Forgets come
+        first, so that a worker does not refuse a task whose earlier attempt it still lists.
 
         Args:
             machine: The worker's machine.
-            heartbeat: What it just sent, or None for commands outside of an answer.
+            heartbeat: The heartbeat that is answered, or None for direct commands.
         """
         out: list[wire.Command] = []
-        if machine.fenced:
-            # While a start without an answer may still arrive, a forgotten attempt would run again.
+        if machine.late_commands_fenced:
+            # A start command that arrives late would run a forgotten attempt again.
             forget = machine.to_forget
             if self._context.coverage is not None:
-                forget = self._archived(machine, self._context.coverage)
+                forget = self._forgettable_exits(machine, self._context.coverage)
             out += [wire.Command(wire.FORGET, wire.task_name(*key), attempt) for key, attempt in forget.items()]
         if heartbeat is not None:
             out += self._stops_for_unrecorded(machine, heartbeat)
@@ -48,22 +49,22 @@
         return out
 
     @staticmethod
-    def _archived(machine: Machine, coverage: ArchiveCoverage) -> dict[TaskKey, int]:
-        """Ended tasks that the worker need not list any more.
+    def _forgettable_exits(machine: Machine, coverage: ArchiveCoverage) -> dict[TaskKey, int]:
+        """Returns the exited tasks that the worker may forget, with their attempt numbers.
 
-        The record of an end can be lost with the state service's data. As long as the archive does not cover it, the
-        worker's heartbeats are the only other evidence.
+        If the state service loses its data, a recorded exit is lost too. Until the archive covers the record, the
+        worker's heartbeats are the only other evidence of the exit.
         """
-        waiting = [
+        unarchived = [
             (key, revision)
             for key, revision in machine.unarchived.items()
             if key in machine.to_forget and not coverage.covers(revision)
         ]
-        machine.unarchived = dict(waiting[-UNARCHIVED_MOST:])
+        machine.unarchived = dict(unarchived[-MAX_UNARCHIVED_EXITS:])
         return {key: attempt for key, attempt in machine.to_forget.items() if key not in machine.unarchived}
 
     def _is_checkpointing(self, attempt: TaskAttempt) -> bool:
-        """The task was told to checkpoint, and has time left; members of a gang go on being reported as running."""
+        """Whether the task was stopped and has time left to checkpoint; gang members are still reported as running."""
         if attempt.grace_s <= 0:
             return False
         if attempt.stop_acknowledged_at is not None:
@@ -83,10 +84,10 @@
         return gang is None or gang.startable
 
     def stops_for_cancelled(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
-        """Stops listed tasks whose jobs are known to be cancelled.
+        """Returns stops for the listed tasks whose jobs are known to be cancelled.
 
-        That needs no record, and may have to be done before the records can be read: a partition may change its owner
-        just before an outage that is longer than `cancel_s`.
+        This needs no allocation records, as a new owner may be unable to read them: the partition may change owners
+        just before an outage of the state service that is longer than `cancel_s`.
         """
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
@@ -98,7 +99,7 @@
 
     @staticmethod
     def _stops_for_unrecorded(machine: Machine, heartbeat: wire.Heartbeat) -> list[wire.Command]:
-        """Stops and forgets listed tasks that no record assigns to this machine."""
+        """Returns stops and forgets for the listed tasks that no record assigns to this machine."""
         out: list[wire.Command] = []
         listed: dict[TaskKey, int] = {}
         for task in heartbeat.tasks:
@@ -110,13 +111,13 @@
                 listed[key] = task.attempt
             elif task.state != wire.EXITED:
                 out.append(wire.Command(wire.STOP, task.task, task.attempt, 0.0))
-            elif machine.fenced:
+            elif machine.late_commands_fenced:
                 out.append(wire.Command(wire.FORGET, task.task, task.attempt))
         machine.to_forget = listed
         return out
 
     def needs_command(self, machine: Machine) -> bool:
-        """Something on the machine has to start or stop, and it is not certain that the worker was told."""
+        """Whether an attempt on the machine has to start or stop and the worker may not have received the command."""
         return machine.state is MachineState.ACTIVE and any(
             (attempt.phase is AttemptPhase.ASSIGNED and not attempt.stop_requested and self._may_start(attempt))
             or (
--- a/spurarch/coordination/partition/direct_commands.py
+++ b/spurarch/coordination/partition/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands to a worker's own address: what they say, and what follows from their answer or from its absence."""
+"""Plans commands to a worker's own address, and applies their responses or the lack of one. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DirectCommandPlanner:
-    """Direct commands of one partition; at most one request to a machine is without an answer at a time."""
+    """Plans the direct commands of one partition, with at most one outstanding request per machine."""
 
     def __init__(
         self, state: PartitionState, commands: CommandPlanner, statuses: StatusUpdater, stops: StopRequests
@@ -19,10 +19,10 @@
         self._state, self._commands, self._statuses, self._stops = state, commands, statuses, stops
 
     def next_request(self, machine: Machine) -> wire.DirectCommands | None:
-        """Commands worth sending at once, which count as under way from now on; None if there are none."""
+        """Returns a request with the commands to send now and counts it as in flight, or None if there are none."""
         if machine.state is not MachineState.ACTIVE or machine.commands_in_flight or not machine.addr:
             return None
-        if self._state.records_read and machine.fenced:
+        if self._state.records_read and machine.late_commands_fenced:
             commands = self._commands.plan(machine, None)
         else:
             commands = self._immediate_stops(machine)
@@ -33,9 +33,10 @@
 
     @staticmethod
     def _immediate_stops(machine: Machine) -> list[wire.Command]:
-        """What may be sent while an earlier command may still act.
+        """Returns the stops without a grace period, which may be sent while earlier commands may still take effect.
 
-        A machine whose heartbeats don't arrive would never show that it can't, and its cancelled tasks have to leave.
+        A machine whose heartbeats do not arrive never acknowledges the token that rules this out, and its cancelled
+        tasks must be stopped all the same.
         """
         return [
             wire.Command(wire.STOP, wire.task_name(*attempt.key), attempt.number, 0.0)
@@ -46,12 +47,12 @@
     def on_response(
         self, machine: Machine, sent: wire.DirectCommands, heartbeat: wire.Heartbeat | None, now: float
     ) -> None:
-        """The worker answered: its commands were executed or refused, and are not on their way any more.
+        """Applies the response to a request, whose commands were executed or refused and cannot arrive later.
 
         Args:
             machine: The worker's machine.
-            sent: What was sent to it.
-            heartbeat: The worker's state as its answer shows it; None if the answer could not be read.
+            sent: The request.
+            heartbeat: The worker's status in the response; None if the response could not be decoded.
             now: Monotonic time in seconds.
         """
         machine.commands_in_flight -= 1
@@ -69,14 +70,19 @@
         self._statuses.apply(machine, heartbeat, now)
         self._stops.stop_gang_members()
 
-    def on_failure(self, machine: Machine, sent: wire.DirectCommands, reached: bool) -> None:
-        """No answer came.
+    def on_failure(self, machine: Machine, sent: wire.DirectCommands, may_have_arrived: bool) -> None:
+        """Handles a request that got no response.
 
-        If the commands were sent, they may act minutes later: the machine gets a higher fencing token, and counts as
-        fenced once it has shown that.
+        Commands that were sent may take effect minutes later. The machine therefore gets a higher fencing token, and
+        they can no longer take effect once the worker has acknowledged it.
+
+        Args:
+            machine: The worker's machine.
+            sent: The request.
+            may_have_arrived: False only if the request certainly did not leave this process.
         """
         machine.commands_in_flight -= 1
-        if reached and machine.incarnation == sent.incarnation:
+        if may_have_arrived and machine.incarnation == sent.incarnation:
             if machine.token_counter <= sent.fencing_token - self._state.lowest_token:
                 machine.token_counter = self._state.next_token_counter()
-            machine.fence_token = max(machine.fence_token, sent.fencing_token + 1)
+            machine.fence_below_token = max(machine.fence_below_token, sent.fencing_token + 1)
--- a/spurarch/coordination/partition/failures.py
+++ b/spurarch/coordination/partition/failures.py
@@ -1,4 +1,4 @@
-"""Attributes failures of tasks to machines or to jobs, which are left alone for a while. No I/O."""
+"""Attributes task failures to machines, which are quarantined, or to jobs, whose retries are delayed. No I/O."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 log = logging.getLogger(__name__)
 
 FAILURES_BEFORE_QUARANTINE = 2
-QUARANTINE_S = 30.0  # for each failure that was attributed to the machine
-FAULTY_JOB_MACHINES = 2  # a job without a success that fails on so many is faulty itself
+QUARANTINE_S = 30.0  # per failure attributed to the machine
+FAULTY_JOB_MIN_MACHINES = 2  # a job without a completed task that fails on this many machines is faulty itself
 REFUSAL_BACKOFF_S = 2.0
 JOB_BACKOFF_S, MAX_JOB_BACKOFF_S, MAX_BACKOFF_DOUBLINGS = 0.25, 30.0, 8
 
 
 @dataclass(slots=True)
 class JobBackoff:
-    """When a job's tasks may be tried again after failures.
+    """Delays the retries of a job's tasks after failures.
 
     Attributes:
-        failures: Failures in a row.
-        not_before: Monotonic time of the next try.
-        has_completed_task: A task of the job has completed once.
-        machines: Machines on which it failed.
-        failures_by_machine: Failures of it that were attributed to a machine.
+        failures: Number of consecutive failures.
+        not_before: Monotonic time in seconds of the next retry.
+        has_completed_task: A task of the job has completed.
+        machines: Machines on which its tasks failed.
+        failures_by_machine: Number of its failures attributed to each machine.
     """
 
     failures: int = 0
@@ -37,21 +37,21 @@
     failures_by_machine: dict[str, int] = field(default_factory=dict)
 
     def record_failure(self, now: float) -> None:
-        """One more failure: the next try waits longer."""
+        """Counts a failure and doubles the delay of the next retry, up to a limit."""
         self.failures += 1
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
         self.not_before = now + min(MAX_JOB_BACKOFF_S, JOB_BACKOFF_S * 2**doublings)
 
 
 class FailureAttribution:
-    """Tells faulty machines from faulty jobs, in one partition."""
+    """Distinguishes faulty machines from faulty jobs in one partition."""
 
     def __init__(self, machines: dict[str, Machine]) -> None:
         self._machines = machines
         self.backoffs: dict[str, JobBackoff] = defaultdict(JobBackoff)
 
     def record_exit(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
-        """Updates backoffs and quarantines from the reason that a task ended with."""
+        """Updates backoffs and quarantines by the exit reason of an attempt."""
         backoff = self.backoffs[attempt.allocation.job]
         if attempt.exit_reason == wire.REASON_ERROR:
             self._attribute_to_machine(machine, backoff)
@@ -69,14 +69,14 @@
 
     def _attribute_to_machine(self, machine: Machine, backoff: JobBackoff) -> None:
         backoff.machines.add(machine.name)
-        if backoff.has_completed_task or len(backoff.machines) < FAULTY_JOB_MACHINES:
+        if backoff.has_completed_task or len(backoff.machines) < FAULTY_JOB_MIN_MACHINES:
             machine.task_failures += 1
             backoff.failures_by_machine[machine.name] = backoff.failures_by_machine.get(machine.name, 0) + 1
         else:
             self._clear_attributed_failures(backoff)
 
     def _clear_attributed_failures(self, backoff: JobBackoff) -> None:
-        """A job that fails wherever it is placed proves nothing about machines, nor did its earlier failures."""
+        """Withdraws the job's failures from its machines: one that fails everywhere proves no machine faulty."""
         for name, failures in backoff.failures_by_machine.items():
             machine = self._machines.get(name)
             if machine is not None:
--- a/spurarch/coordination/partition/heartbeats.py
+++ b/spurarch/coordination/partition/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of a partition's workers: which are accepted, what they prove, and the commands that answer them."""
+"""Handles the heartbeats of a partition's workers: accepts or rejects them, and plans the commands in the responses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 log = logging.getLogger(__name__)
 
-PROBE_LEASES = 0.6  # of a lease: time after which a machine is given a new token, to see that our answers arrive
-RESPONSES_LOST_LEASES = 0.5  # several heartbeats: a worker shows a higher token with the next one that it sends
-REJECTED_MACHINES_KEPT = 5000  # machines of which a line is logged
+PROBE_LEASES = 0.6  # lease durations after an acknowledgement; then a new token tests whether responses arrive
+RESPONSES_LOST_LEASES = 0.5  # lease durations; several heartbeats, and a worker acknowledges with its next one
+MAX_LOGGED_REJECTIONS = 5000  # machines; one log line each
 
 
 class HeartbeatHandler:
-    """Accepts heartbeats and answers them with commands."""
+    """Applies heartbeats and returns the commands for their responses."""
 
     def __init__(
         self,
@@ -31,30 +31,30 @@
     ) -> None:
         self._state, self._lease_s = state, lease_s
         self._statuses, self._stops, self._commands = statuses, stops, commands
-        self._rejected_machines: set[str] = set()
+        self._logged_rejections: set[str] = set()
 
     def handle(self, heartbeat: wire.Heartbeat, now: float, commanding: bool = True) -> list[wire.Command] | None:
-        """Applies a heartbeat and returns the commands of its answer.
+        """Applies a heartbeat and returns the commands for its response.
 
-        A heartbeat may be a copy of any age and arrive in any order. Only one that is newer than the newest seen, of a
-        machine that has shown a fencing token chosen for it here, changes anything.
+        Heartbeats may be duplicated, delayed and reordered. Only one that is newer than all applied before, and that
+        carries a fencing token issued to this machine by this owner, changes the tables.
 
         Args:
-            heartbeat: What the worker sent.
+            heartbeat: The worker's heartbeat.
             now: Monotonic time in seconds.
-            commanding: Whether this owner may command; otherwise it may have lost the partition, and the answer only
-                renews the worker's lease.
+            commanding: Whether this owner may send commands. If not, another controller may own the partition, and the
+                response only renews the worker's lease.
 
         Returns:
-            The commands, or None if the heartbeat must not be answered with status 200, which would renew the lease.
+            The commands, or None if the response must not have status 200, which would renew the lease.
         """
         state = self._state
         state.now = now
         machine = self._accepted_machine(heartbeat)
         if machine is None:
             return None
-        if machine.has_seen(heartbeat):
-            return []  # a copy, or older than the newest; but the sender may still wait for an answer
+        if machine.has_applied(heartbeat):
+            return []  # a duplicate or an older one, but the worker may still wait for a response
         self._statuses.apply(machine, heartbeat, now)
         self._probe_acknowledgement(machine, now)
         if not commanding or machine.state is not MachineState.ACTIVE:
@@ -70,23 +70,23 @@
         return commands
 
     def _accepted_machine(self, heartbeat: wire.Heartbeat) -> Machine | None:
-        """The sender's machine, or None if it is released, its lease has expired, or it has a later owner."""
+        """Returns the sender's machine; None if it was released, its lease expired, or a later owner answered it."""
         state = self._state
         if heartbeat.machine in state.released_machines:
             self._log_rejected(heartbeat, "machine was released")
             return None
         if heartbeat.fencing_token > state.lowest_token + state.highest_token_counter:
-            # A later owner has answered this worker, or the heartbeat makes no sense.
+            # The token was issued by a later owner, or is invalid.
             self._log_rejected(heartbeat, "fencing token is not ours")
             return None
-        machine = self._machine(heartbeat)
+        machine = self._find_or_add_machine(heartbeat)
         if machine.state is MachineState.RELEASED or heartbeat.incarnation <= machine.expired_incarnation:
             return None
         return machine
 
     def _log_rejected(self, heartbeat: wire.Heartbeat, reason: str) -> None:
-        if heartbeat.machine not in self._rejected_machines and len(self._rejected_machines) < REJECTED_MACHINES_KEPT:
-            self._rejected_machines.add(heartbeat.machine)
+        if heartbeat.machine not in self._logged_rejections and len(self._logged_rejections) < MAX_LOGGED_REJECTIONS:
+            self._logged_rejections.add(heartbeat.machine)
             log.info(
                 "heartbeat rejected machine=%s incarnation=%d sequence=%d reason=%s",
                 heartbeat.machine,
@@ -95,7 +95,7 @@
                 reason,
             )
 
-    def _machine(self, heartbeat: wire.Heartbeat) -> Machine:
+    def _find_or_add_machine(self, heartbeat: wire.Heartbeat) -> Machine:
         machine = self._state.machines.get(heartbeat.machine)
         if machine is None:
             return self._state.add_machine(heartbeat.machine, heartbeat.type, heartbeat.spot, heartbeat.addr)
@@ -104,25 +104,25 @@
         return machine
 
     def _probe_acknowledgement(self, machine: Machine, now: float) -> None:
-        """Gives the machine a new token now and then, and finds out whether our answers reach it at all.
+        """Issues new tokens periodically to find out whether heartbeat responses reach the machine.
 
-        A machine whose heartbeats arrive while our answers are lost would look alive and idle for ever.
+        Otherwise a machine that sends heartbeats but receives no responses would count as active and idle forever.
         """
         if machine.token_offered_at is not None:
-            # Workers show a higher token within a few heartbeats; one that takes longer does not get our answers.
+            # Workers acknowledge a higher token within a few heartbeats if they receive the responses.
             if not machine.responses_lost and now - machine.token_offered_at > self._lease_s * RESPONSES_LOST_LEASES:
-                log.info("machine does not acknowledge our token machine=%s", machine.name)
+                log.info("worker does not acknowledge its fencing token machine=%s", machine.name)
                 machine.responses_lost = True
-        elif now - (machine.acknowledged_at or now) > self._lease_s * PROBE_LEASES:
+        elif now - (machine.token_acknowledged_at or now) > self._lease_s * PROBE_LEASES:
             machine.token_counter = self._state.next_token_counter()
             machine.token_offered_at = now
         if machine.state is MachineState.UNCONFIRMED and machine.token_offered_at is None:
             machine.token_offered_at = now
 
     def _mark_absent_as_gone(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
-        """A task that has to stop and is not listed is off the machine, if no start can still be on its way."""
+        """Marks tasks to be stopped as gone if the worker does not list them and no start command can still arrive."""
         stopping = [attempt for attempt in machine.attempts.values() if attempt.stop_requested]
-        if not stopping or not machine.fenced:
+        if not stopping or not machine.late_commands_fenced:
             return
         listed = {wire.split_task(task.task) for task in heartbeat.tasks}
         for attempt in stopping:
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -1,10 +1,10 @@
-"""State machines of a task attempt and of a machine, as the partition's owner sees them. No I/O.
+"""State machines of task attempts and machines, as tracked by the partition owner. No I/O.
 
-    ASSIGNED -> STARTING -> FETCHING -> (GATHERING ->) RUNNING -> (STOPPING ->) EXITED -> forgotten
-        any of them -> GONE once it is proved that the machine no longer has the task
+    ASSIGNED -> STARTING -> FETCHING -> (GATHERING ->) RUNNING -> (STOPPING ->) EXITED
+        any phase before EXITED -> GONE once it is proved that the task is no longer on the machine
 
-`TaskAttempt.transition` makes every change of an attempt's phase, `Machine.transition` every change of a machine's
-state.
+Every change of an attempt's phase goes through `TaskAttempt.transition`, and every change of a machine's state through
+`Machine.transition`.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey
 
-CLOCK_DRIFT = 1.001  # between the clocks of a worker and of its owner, as a factor
+CLOCK_DRIFT = 1.001  # assumed maximum ratio of the clock rates of a worker and its partition owner
 LEASE_MARGIN_S = 0.5
 
-TaskKey = tuple[str, int]  # job and index; plain, since every heartbeat makes and compares one for each of its tasks
+TaskKey = tuple[str, int]  # job and index; a plain tuple, as each heartbeat creates and compares one per task
 
 
 class AttemptPhase(enum.IntEnum):
-    """How far an attempt is on its machine."""
+    """Progress of an attempt on its machine."""
 
-    ASSIGNED = 0  # on record; this process has sent no command
+    ASSIGNED = 0  # on record; this process has not sent a start command
     STARTING = 1  # a start command was sent
     FETCHING = 2
-    GATHERING = 3  # a member of a gang that waits for the others of its attempt
+    GATHERING = 3  # a gang member that waits for the other members of its attempt
     RUNNING = 4
     STOPPING = 5
-    EXITED = 6  # the worker reported its end, which is not on record yet
-    GONE = 7  # proved to be off its machine, which is not on record yet
+    EXITED = 6  # the worker reported the exit, which is not on record yet
+    GONE = 7  # proved to be no longer on its machine, which is not on record yet
 
 
 _AFTER_START = {
@@ -62,17 +62,20 @@
 
 @dataclass(slots=True)
 class TaskAttempt:
-    """One attempt of a task, which the records assign to a machine.
+    """One attempt of a task, assigned to a machine by the allocation records.
+
+    Times are in seconds of the monotonic clock.
 
     Attributes:
-        incarnation: The worker's incarnation that it was assigned to.
-        exit_reason: Why it ended, as the worker says; set in phase EXITED.
-        stop_requested: It has to leave its machine.
-        grace_s: How long it gets to checkpoint when it is told to stop.
-        stop_acknowledged_at: When the worker confirmed that it was told to stop.
-        start_sent_seq: The start reached the worker no later than its message with this number.
-        terminated_at: When its end or absence was proved.
-        job_cancelled_at: When its job was cancelled, as far as is known.
+        incarnation: The incarnation of the worker that it was assigned to.
+        exit_reason: Why it exited, as reported by the worker; set in phase EXITED.
+        stop_requested: It has to be stopped.
+        grace_s: Seconds that it gets to checkpoint when it is stopped.
+        stop_acknowledged_at: When the worker confirmed the stop command.
+        start_sent_seq: Sequence number of the newest worker message that may have been sent before the start command
+            arrived. Only later messages that do not list the task prove that it is not on the machine.
+        terminated_at: When its exit or absence was proved.
+        job_cancelled_at: When its job was cancelled; None if no cancellation has been observed.
     """
 
     allocation: AllocationKey
@@ -93,11 +96,11 @@
 
     @property
     def key(self) -> TaskKey:
-        """Job and index of its task."""
+        """Job and index of the task."""
         return self.allocation.job, self.index
 
     def transition(self, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
-        """Changes the phase if that is a step an attempt can take; anything else is from an older message."""
+        """Changes the phase; returns False if it cannot follow the current one, as when an older message arrives."""
         if phase not in _NEXT_PHASES[self.phase]:
             return False
         self.phase = phase
@@ -107,11 +110,11 @@
 
 
 class MachineState(enum.Enum):
-    """What is known of a machine."""
+    """State of a machine, as established by this owner."""
 
-    UNCONFIRMED = "unconfirmed"  # on record, or sending heartbeats, but it has not yet shown a fencing token of ours
+    UNCONFIRMED = "unconfirmed"  # on record or sending heartbeats, but no fencing token of this owner is acknowledged
     ACTIVE = "active"
-    LEASE_EXPIRED = "lease-expired"  # silent for so long that its worker's lease has certainly expired
+    LEASE_EXPIRED = "lease-expired"  # no heartbeat for long enough that its worker's lease must have expired
     RELEASED = "released"  # the cloud confirmed its release
 
 
@@ -127,34 +130,39 @@
 class Machine:
     """A machine of a partition.
 
+    Times are in seconds of the monotonic clock.
+
     Attributes:
-        schedulable: On record as taking new tasks.
-        incarnation: The newest of its worker that was seen.
-        heartbeat_seq: Number of its newest message in that incarnation.
+        schedulable: The machine record allows new tasks.
+        incarnation: The newest incarnation of its worker.
+        heartbeat_seq: Sequence number of the newest message applied from that incarnation.
         expired_incarnation: The newest incarnation whose lease expired.
-        token_counter: Low part of the fencing token that it is given now.
-        first_token_counter: The first that it was given; no answer carried one as high before.
-        acknowledged_counter: The highest that it has shown.
-        token_offered_at: When it was first answered with `token_counter`, unless it has shown that since.
-        acknowledged_at: When it last showed what only an answer of ours could have told it.
-        responses_lost: Its heartbeats arrive, but it shows nothing of our answers.
-        fence_token: Commands with fencing tokens below this may still arrive, unless the worker has seen it.
-        highest_token_seen: The highest fencing token that it has shown.
-        commands_in_flight: Direct commands without an answer yet.
+        token_counter: Low bits of the fencing token that responses and commands to it carry now.
+        first_token_counter: The first `token_counter` issued to it; all earlier messages of this owner carried lower
+            ones.
+        acknowledged_token_counter: The highest counter that it has acknowledged, by a message that carries it.
+        token_offered_at: When `token_counter` was first sent to it; None once it has acknowledged that.
+        token_acknowledged_at: When it last acknowledged a higher counter, which only this owner can have sent to it.
+        responses_lost: Its heartbeats arrive, but it does not acknowledge the token in the heartbeat responses.
+        fence_below_token: Direct commands with a lower fencing token may still arrive and take effect until the worker
+            has acknowledged a token at least as high.
+        highest_token_seen: The highest fencing token that its messages have carried.
+        commands_in_flight: Requests with direct commands that have no response yet.
         last_heartbeat_at: When its newest message was received.
-        termination_notice_until: When the cloud takes it away, if it announced that.
-        to_forget: Ended tasks that the worker need not list any more, with their attempts.
-        unarchived: Of `to_forget`, revisions of the records that say so and have to be archived first.
-        cached_images: Images of tasks that have run here.
-        cancelled_task_since: Its lease expired with a task that was cancelled then; it may hang with it still.
-        task_failures: Failures that were attributed to it.
-        quarantined_until: It is given no tasks until then, since tasks failed here.
-        backoff_until: It refused a task; too short a while to go on record.
-        releasing: Its release is under way.
-        draining: Consolidation lets its tasks end or move, and sends it no new ones.
+        termination_notice_until: When the cloud terminates the machine; None without a termination notice.
+        to_forget: Attempt numbers of exited tasks that the worker need not list any more, by task.
+        unarchived: By task of `to_forget`, the revision that has to be archived before the worker may forget the exit.
+        cached_images: Images of tasks that have run on it.
+        unconfirmed_cancellation_at: Earliest cancellation of a task that was on it when its lease expired; a hung
+            machine may still run the task.
+        task_failures: Number of task failures attributed to it.
+        quarantined_until: Until then it is assigned no tasks because tasks failed on it.
+        backoff_until: Until then it is assigned no tasks because it refused one; too short to be put on record.
+        releasing: Its release is in progress.
+        draining: Consolidation empties it: its tasks end or are migrated, and it is assigned no new ones.
         release_after: When its release may be tried again.
         next_command_at: When direct commands may be sent to it again.
-        last_task_statuses: What its newest message listed, unless tasks were assigned since.
+        last_task_statuses: Task statuses of its newest message; None if tasks were assigned since.
     """
 
     name: str
@@ -170,11 +178,11 @@
     expired_incarnation: int = -1
     token_counter: int = 1
     first_token_counter: int = 1
-    acknowledged_counter: int = 0
+    acknowledged_token_counter: int = 0
     token_offered_at: float | None = None
-    acknowledged_at: float | None = None
+    token_acknowledged_at: float | None = None
     responses_lost: bool = False
-    fence_token: int = 0
+    fence_below_token: int = 0
     highest_token_seen: int = 0
     commands_in_flight: int = 0
     last_heartbeat_at: float | None = None
@@ -184,7 +192,7 @@
     unarchived: dict[TaskKey, int] = field(default_factory=dict)
     cached_images: set[int] = field(default_factory=set)
     idle_since: float | None = None
-    cancelled_task_since: float | None = None
+    unconfirmed_cancellation_at: float | None = None
     task_failures: int = 0
     quarantined_until: float = 0.0
     backoff_until: float = 0.0
@@ -195,48 +203,48 @@
     last_task_statuses: list[wire.TaskStatus] | None = None
 
     def transition(self, state: MachineState) -> bool:
-        """Changes the state if that is a step a machine can take."""
+        """Changes the state; returns False if it cannot follow the current one."""
         if state not in _NEXT_STATES[self.state]:
             return False
         self.state = state
         return True
 
-    def has_seen(self, heartbeat: wire.Heartbeat) -> bool:
-        """Whether this message of its worker, or a newer one, was applied before."""
+    def has_applied(self, heartbeat: wire.Heartbeat) -> bool:
+        """Whether this message of the worker, or a newer one, has been applied."""
         return (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.heartbeat_seq)
 
     def acknowledge(self, fencing_token: int, counter: int, now: float) -> None:
-        """The worker showed a fencing token; one that is higher than those before proves that our answers arrive."""
+        """Records the token of a worker's message; a higher one than before proves that responses reach the worker."""
         self.highest_token_seen = max(self.highest_token_seen, fencing_token)
-        if counter > self.acknowledged_counter:
-            self.acknowledged_counter = counter
-            self.acknowledged_at = now
-            if self.acknowledged_counter >= self.token_counter:
+        if counter > self.acknowledged_token_counter:
+            self.acknowledged_token_counter = counter
+            self.token_acknowledged_at = now
+            if self.acknowledged_token_counter >= self.token_counter:
                 self.token_offered_at = None
                 self.responses_lost = False
 
     def overdue_since(self) -> float | None:
-        """Since when a cancelled task may be on the machine, which has not shown that it left; None if none may."""
+        """Returns when the earliest cancelled task that may still run here was cancelled; None without such a task."""
         times = [
             attempt.job_cancelled_at
             for attempt in self.attempts.values()
             if attempt.job_cancelled_at is not None and attempt.phase < AttemptPhase.EXITED
         ]
-        if self.cancelled_task_since is not None:
-            times.append(self.cancelled_task_since)
+        if self.unconfirmed_cancellation_at is not None:
+            times.append(self.unconfirmed_cancellation_at)
         return min(times, default=None)
 
     @property
-    def fenced(self) -> bool:
-        """No command without an answer can act any more."""
-        return self.commands_in_flight == 0 and self.highest_token_seen >= self.fence_token
+    def late_commands_fenced(self) -> bool:
+        """Whether no direct command that got no response can still take effect."""
+        return self.commands_in_flight == 0 and self.highest_token_seen >= self.fence_below_token
 
     def is_schedulable(self, now: float) -> bool:
-        """May be given new tasks: it can accept them, and is on record as schedulable."""
+        """Whether it may be assigned new tasks: it can accept them and is on record as schedulable."""
         return self.schedulable and now >= self.backoff_until and self.can_accept_tasks(now)
 
     def can_accept_tasks(self, now: float) -> bool:
-        """Whether nothing known here speaks against new tasks."""
+        """Whether it is active, receives responses, and is not quarantined, draining, terminating or being released."""
         return (
             self.state is MachineState.ACTIVE
             and not self.releasing
@@ -247,11 +255,11 @@
         )
 
     def lease_expired(self, now: float, lease_s: float) -> bool:
-        """Whether the worker's lease has expired for certain.
+        """Whether the lease of an active machine's worker must have expired.
 
-        Only this owner can renew it: the worker has shown our fencing token, and drops whatever carries a lower one. A
-        renewal counts from the sending of a heartbeat, and every heartbeat that it has sent so far was sent before we
-        received its newest message. Late copies of older ones therefore renew nothing, though they are answered.
+        Only this owner can renew the lease: the worker has acknowledged this owner's fencing token and rejects lower
+        ones. A renewal counts from the time at which the worker sent the heartbeat, and everything received so far was
+        sent before `last_heartbeat_at`. Responses to late copies of older heartbeats therefore renew nothing.
         """
         return (
             self.state is MachineState.ACTIVE
@@ -260,7 +268,7 @@
         )
 
 
-_OBSERVED = {
+_PHASES_BY_REPORTED_STATE = {
     wire.FETCHING: AttemptPhase.FETCHING,
     wire.GATHERING: AttemptPhase.GATHERING,
     wire.RUNNING: AttemptPhase.RUNNING,
@@ -269,6 +277,6 @@
 }
 
 
-def observed_phase(task: wire.TaskStatus) -> AttemptPhase | None:
-    """The phase that a worker's message shows, or None for a state that this version does not know."""
-    return _OBSERVED.get(task.state)
+def reported_phase(task: wire.TaskStatus) -> AttemptPhase | None:
+    """Returns the phase for the task state that a worker reported, or None for an unknown state of a newer worker."""
+    return _PHASES_BY_REPORTED_STATE.get(task.state)
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -1,4 +1,4 @@
-"""One partition in its owner's hands: heartbeats and records come in, commands go out. No I/O, no clock of its own."""
+"""An owned partition: turns heartbeats and records into commands. No I/O; callers pass the time."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Partition:
-    """The machines and tasks of one zone, in one epoch of its ownership.
+    """The machines and tasks of one zone in one epoch of its ownership.
 
-    Others read its tables; what changes them is in the parts that share its state.
+    Other components read the tables; the components created here share `state` and change them.
 
     Attributes:
-        state: The tables and the partition's time.
-        commands: Commands that a machine needs.
-        direct_commands: Commands to workers' own addresses.
+        state: The tables and the time of the last update.
+        commands: Plans the commands that a machine needs.
+        direct_commands: Plans the commands that are sent to workers' own addresses.
     """
 
     def __init__(self, zone: str, epoch: int, lease_s: float, now: float, context: PartitionContext) -> None:
@@ -50,42 +50,42 @@
         self.direct_commands = DirectCommandPlanner(state, self.commands, self._statuses, self._stops)
 
     @cached_property
-    def _records(self) -> RecordFollower:
+    def _record_follower(self) -> RecordFollower:
         from spurarch.coordination.partition.record_follower import RecordFollower
 
         return RecordFollower(self.state, self._stops, self._failures, self._context)
 
     @property
     def backoffs(self) -> dict[str, JobBackoff]:
-        """By job, when its tasks may be tried again after failures."""
+        """Delays of retries after task failures, by job."""
         return self._failures.backoffs
 
     @property
     def capacity_added_at(self) -> float:
-        """When a machine last became active."""
+        """Monotonic time in seconds at which a machine last became active."""
         return self.state.capacity_added_at
 
     @property
     def unreachable(self) -> bool:
-        """No controller receives heartbeats from the zone."""
+        """Whether no controller receives heartbeats from the zone."""
         return self.state.unreachable
 
     @unreachable.setter
     def unreachable(self, value: bool) -> None:
         self.state.unreachable = value
 
-    # Records and heartbeats coming in
+    # Records and heartbeats
 
     def apply_records(self, cluster: ClusterState, keys: Iterable[str], now: float) -> None:
-        """Applies the records under changed keys."""
-        self._records.apply(cluster, keys, now)
+        """Applies the current records of the changed keys."""
+        self._record_follower.apply(cluster, keys, now)
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float, commanding: bool = True) -> list[wire.Command] | None:
-        """Applies a heartbeat; returns the commands of its answer, or None if it must not be answered with 200."""
+        """Applies a heartbeat; returns the commands for its response, or None if the status must not be 200."""
         return self._heartbeats.handle(heartbeat, now, commanding)
 
     def on_released(self, name: str) -> None:
-        """The cloud confirmed that the machine is gone, with all that was on it."""
+        """Marks a machine as released, and its attempts as gone, once the cloud has confirmed its release."""
         self.state.remember_released(name)
         machine = self.machines.get(name)
         if machine is not None:
@@ -96,7 +96,7 @@
     # Time
 
     def tick(self, now: float) -> None:
-        """Applies what follows from time alone: expired leases, and how long machines have been idle."""
+        """Expires leases and updates since when machines are idle."""
         self.state.now = now
         for machine in self.machines.values():
             if machine.lease_expired(now, self._lease_s):
@@ -114,18 +114,18 @@
         machine.transition(MachineState.LEASE_EXPIRED)
         for attempt in machine.attempts.values():
             if attempt.job_cancelled_at is not None:
-                # A machine that hangs does not even end what its lease no longer covers.
-                machine.cancelled_task_since = min(
-                    attempt.job_cancelled_at, machine.cancelled_task_since or attempt.job_cancelled_at
+                # A hung machine does not stop its tasks when its lease expires.
+                machine.unconfirmed_cancellation_at = min(
+                    attempt.job_cancelled_at, machine.unconfirmed_cancellation_at or attempt.job_cancelled_at
                 )
             self.state.transition(attempt, AttemptPhase.GONE)
 
-    # Tasks that have to leave
+    # Stops
 
     def request_stop(self, attempt: TaskAttempt, grace_s: float) -> None:
-        """Has a task leave its machine within a grace period, and with it the other members of its gang."""
+        """Requests the stop of a task, and of the other members of its gang, with a grace period in seconds."""
         self._stops.request(attempt, grace_s)
 
     def stop_job(self, job_id: str, now: float) -> None:
-        """Has all tasks of a cancelled job leave."""
+        """Requests the stop of all tasks of a cancelled job."""
         self._stops.stop_job(job_id, now)
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -1,8 +1,8 @@
-"""Tables of one partition, as its owner knows it from records and heartbeats. No I/O, and no clock of its own.
+"""In-memory tables of one partition, built by its owner from records and heartbeats. No I/O; callers pass the time.
 
-Each method keeps several tables consistent; `PartitionState.transition` makes every change of an attempt's phase.
-Whatever has to be recorded, sent or cleaned up is collected where it arises, so that no heartbeat, changed record or
-round walks the whole partition.
+Each method keeps several tables consistent, and every change of an attempt's phase goes through
+`PartitionState.transition`. Pending records, commands and deletions are collected when their cause occurs, so that no
+heartbeat, record change or round has to scan the whole partition.
 """
 
 from __future__ import annotations
@@ -19,42 +19,43 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey, TaskEntry
 
-TOKEN_BITS = 36  # low bits of a fencing token, a counter; the bits above hold the epoch
-RELEASED_MACHINES_KEPT = 20_000  # names: several times a fleet
+TOKEN_BITS = 36  # low bits of a fencing token, which hold a counter; the higher bits hold the epoch
+RELEASED_MACHINES_KEPT = 20_000  # machine names; several times the size of a fleet
 
 
 class ArchiveCoverage(Protocol):
-    """Tells up to which revision the records are in the archive."""
+    """Reports up to which revision the archive holds the records."""
 
     def recorded(self) -> int:
-        """A revision that holds all that is on record here now."""
+        """Returns a revision that includes all records that this controller has now."""
 
     def covers(self, revision: int) -> bool:
-        """Whether the archive holds all changes up to a revision, or is not to be waited for."""
+        """Whether the archive holds all changes up to a revision, or need not be waited for."""
 
 
 def _not_cancelled(_job: str) -> float | None:
     return None
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
 class PartitionContext(Struct, frozen=True):
-    """What a partition has to ask its controller for.
+    """Information that a partition gets from its controller.
 
     Attributes:
-        image_of: The number of a job's image, or None if the job is not known.
-        time_since_cancellation: Seconds since a job was cancelled, or None if it is not known to be cancelled.
-        may_start: Whether the records can be trusted enough to start tasks.
-        coverage: Where ends have to be archived before workers may forget them; None without an archive.
-        violations: Counts invariants that did not hold.
+        image_of: Returns the number of a job's image, or None if the job is unknown.
+        time_since_cancellation: Returns the seconds since a job was cancelled, or None if no cancellation is known.
+        may_start: Whether the records are reliable enough to start tasks.
+        coverage: Coverage of the archive, which has to hold an exit before the worker may forget it; None without an
+            archive.
+        violations: Counts violated invariants.
     """
 
     image_of: Callable[[str], int | None]
     time_since_cancellation: Callable[[str], float | None] = _not_cancelled
-    may_start: Callable[[], bool] = _always
+    may_start: Callable[[], bool] = _always_allowed
     coverage: ArchiveCoverage | None = None
     violations: InvariantViolations = field(default_factory=InvariantViolations)
 
@@ -65,11 +66,11 @@
     def __init__(self, zone: str, epoch: int, now: float) -> None:
         self.zone, self.epoch = zone, epoch
         self.lowest_token = epoch << TOKEN_BITS  # the lowest fencing token of this epoch
-        self.highest_token_counter = 0  # the highest that any machine was given
+        self.highest_token_counter = 0  # the highest that was issued to any machine
         self.claimed_at = self.now = now
         self.capacity_added_at = now  # when a machine last became active
         self.unreachable = False  # no controller receives heartbeats from the zone
-        self.records_read = False  # the partition's records have been read since it was claimed
+        self.records_read = False  # the partition's records were read after it was claimed
         self.scheduling_triggers = 0  # machines that became active and tasks that left: capacity may be free
         self.machines: dict[str, Machine] = {}
         self.attempts: dict[TaskKey, TaskAttempt] = {}
@@ -78,8 +79,8 @@
         self.unassigned: dict[AllocationKey, list[TaskEntry]] = {}
         self.gangs = Gangs()
         self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not on record yet
-        self.allocations_to_restart: set[AllocationKey] = set()  # with a terminal attempt that did not complete
-        self.orphaned_allocations: set[AllocationKey] = set()  # may be left from a job that is over
+        self.allocations_to_restart: set[AllocationKey] = set()  # those with a terminal attempt that did not complete
+        self.orphaned_allocations: set[AllocationKey] = set()  # those whose job may have ended or been cancelled
         self.machines_needing_commands: dict[str, None] = {}
         self.machines_with_cancelled_tasks: dict[str, None] = {}
         self.released_machines: dict[str, None] = {}
@@ -87,23 +88,23 @@
     # Machines
 
     def fencing_token(self, machine: Machine) -> int:
-        """The fencing token that answers and commands to the machine carry now."""
+        """Returns the fencing token that heartbeat responses and commands to the machine carry now."""
         return self.lowest_token + machine.token_counter
 
     def next_token_counter(self) -> int:
-        """A counter never given to any machine before: a heartbeat that shows it follows an answer that carried it."""
+        """Returns an unused counter: a heartbeat that carries it proves that the worker received it from this owner."""
         self.highest_token_counter += 1
         return self.highest_token_counter
 
     def add_machine(self, name: str, machine_type: str, spot: bool, addr: str, schedulable: bool = True) -> Machine:
-        """A machine that is on record or sent a heartbeat for the first time."""
+        """Adds and returns a machine that was first found in a record or by its heartbeat."""
         machine = Machine(name, self.zone, machine_type, spot, addr, self.now, schedulable=schedulable)
         machine.first_token_counter = machine.token_counter = self.next_token_counter()
         self.machines[name] = machine
         return machine
 
     def remember_released(self, name: str) -> None:
-        """Keeps a machine's name: what it sent or what was recorded of it before its release may still come."""
+        """Keeps the name of a released machine, since older heartbeats and records of it may still arrive."""
         self.released_machines[name] = None
         if len(self.released_machines) > RELEASED_MACHINES_KEPT:
             del self.released_machines[next(iter(self.released_machines))]
@@ -111,7 +112,7 @@
     # Attempts
 
     def transition(self, attempt: TaskAttempt, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
-        """Changes an attempt's phase if it can take that step; terminal attempts are kept to be recorded."""
+        """Changes an attempt's phase; returns False for an invalid change. Queues terminal attempts for recording."""
         if not attempt.transition(phase, exit_reason):
             return False
         if phase in (AttemptPhase.EXITED, AttemptPhase.GONE):
@@ -124,7 +125,7 @@
         return True
 
     def add_attempt(self, attempt: TaskAttempt, machine: Machine) -> None:
-        """An attempt that the records assign to the machine."""
+        """Adds an attempt that the records assign to the machine."""
         self.attempts_by_allocation[attempt.allocation][attempt.index] = attempt
         self.attempts[attempt.key] = machine.attempts[attempt.key] = attempt
         gang = self.gangs.get(attempt.allocation.job)
@@ -135,18 +136,18 @@
         self.machines_needing_commands[machine.name] = None
 
     def move_attempt(self, attempt: TaskAttempt, allocation: AllocationKey) -> None:
-        """Keeps an attempt, with its phase, under another allocation of the same job."""
+        """Moves an attempt, with its phase, to another allocation of the same job."""
         for table in (self.attempts_by_allocation, self.terminal_attempts):
             if table.get(attempt.allocation, {}).pop(attempt.index, None) is attempt:
                 table.setdefault(allocation, {})[attempt.index] = attempt
-        self._drop_if_empty(attempt.allocation)
+        self._drop_terminal_attempts_if_empty(attempt.allocation)
         self.allocations_by_job[allocation.job].add(allocation)
         if attempt.phase >= AttemptPhase.EXITED and attempt.exit_reason != wire.REASON_DONE:
             self.allocations_to_restart.add(allocation)
         attempt.allocation = allocation
 
     def remove_attempt(self, attempt: TaskAttempt) -> None:
-        """Drops an attempt that the records no longer assign."""
+        """Removes an attempt that the records no longer assign."""
         if self.attempts.get(attempt.key) is attempt:
             del self.attempts[attempt.key]
         gang = self.gangs.get(attempt.allocation.job)
@@ -157,12 +158,12 @@
             attempts = table.get(attempt.allocation)
             if attempts is not None and attempts.get(attempt.index) is attempt:
                 del attempts[attempt.index]
-        self._drop_if_empty(attempt.allocation)
+        self._drop_terminal_attempts_if_empty(attempt.allocation)
         machine = self.machines.get(attempt.machine)
         if machine is not None and machine.attempts.get(attempt.key) is attempt:
             del machine.attempts[attempt.key]
 
-    def _drop_if_empty(self, allocation: AllocationKey) -> None:
+    def _drop_terminal_attempts_if_empty(self, allocation: AllocationKey) -> None:
         if not self.terminal_attempts.get(allocation, True):
             del self.terminal_attempts[allocation]
             self.allocations_to_restart.discard(allocation)
@@ -170,7 +171,7 @@
     # Allocations
 
     def attempts_of(self, allocation: AllocationKey) -> dict[int, TaskAttempt]:
-        """The table of an allocation's attempts by task index, new or known."""
+        """Returns the attempts of an allocation by task index; adds an empty table for a new allocation."""
         attempts = self.attempts_by_allocation.get(allocation)
         if attempts is None:
             attempts = self.attempts_by_allocation[allocation] = {}
@@ -178,7 +179,7 @@
         return attempts
 
     def remove_allocation(self, allocation: AllocationKey) -> None:
-        """Drops an allocation whose record was deleted."""
+        """Removes an allocation whose record was deleted."""
         self.attempts_by_allocation.pop(allocation, None)
         self.allocations_by_job[allocation.job].discard(allocation)
         if not self.allocations_by_job[allocation.job]:
--- a/spurarch/coordination/partition/statuses.py
+++ b/spurarch/coordination/partition/statuses.py
@@ -1,6 +1,6 @@
-"""What a worker's own message shows of its machine and of the tasks on it.
+"""Applies the status that a worker reports of its machine and tasks.
 
-Both heartbeats and answers to direct commands carry such messages; copies of any age may arrive in any order.
+Workers report it in heartbeats and in responses to direct commands, which may be duplicated, delayed and reordered.
 """
 
 from __future__ import annotations
@@ -8,18 +8,18 @@
 import logging
 
 from spurarch.coordination.partition.failures import FailureAttribution
-from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, observed_phase
+from spurarch.coordination.partition.machine import AttemptPhase, Machine, MachineState, reported_phase
 from spurarch.coordination.partition.state import PartitionContext, PartitionState
 from spurarch.coordination.partition.stopping import StopRequests
 from spurarch.protocol import wire
 
 log = logging.getLogger(__name__)
 
-UNKNOWN_STATES_KEPT = 5000  # task states of which a line is logged
+MAX_LOGGED_STATES = 5000  # task states; one log line each
 
 
 class StatusUpdater:
-    """Applies workers' messages to machines and attempts."""
+    """Applies the messages of workers to machines and attempts."""
 
     def __init__(
         self,
@@ -30,17 +30,17 @@
     ) -> None:
         self._state, self._stops, self._failures = state, stops, failures
         self._image_of = context.image_of
-        self._unknown_states: set[str] = set()
+        self._logged_states: set[str] = set()
 
     def apply(self, machine: Machine, heartbeat: wire.Heartbeat, now: float) -> None:
-        """Applies what a worker's message shows, unless something newer was seen.
+        """Applies a message of a worker, unless it is outdated or its fencing token was not issued by this owner.
 
-        A machine becomes active with the first message that shows a fencing token chosen for it since it became known
-        here. Copies of older messages can't show one: neither one alone nor several in a row bring a released machine
-        back, or make a new owner believe that a silent one lives.
+        A machine becomes active with the first message that carries a fencing token issued since this owner added the
+        machine. Duplicates of older messages cannot carry one. So they never reactivate a released machine, nor make a
+        new owner consider a silent machine active, however many arrive.
         """
         state = self._state
-        if machine.has_seen(heartbeat):
+        if machine.has_applied(heartbeat):
             return
         lowest_token = state.lowest_token
         if (
@@ -70,20 +70,20 @@
             state.machines_needing_commands[machine.name] = None
 
     def _end_incarnation(self, machine: Machine, incarnation: int) -> None:
-        """A worker process began anew, so nothing of the one before runs any more."""
+        """Marks the attempts of earlier incarnations as gone: a restarted worker runs none of them."""
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
                 self._state.transition(attempt, AttemptPhase.GONE)
         machine.to_forget.clear()
-        machine.fence_token = 0  # commands name their incarnation
-        machine.cancelled_task_since = None
+        machine.fence_below_token = 0  # workers reject commands to an earlier incarnation
+        machine.unconfirmed_cancellation_at = None
 
     def _apply_task(self, machine: Machine, task: wire.TaskStatus, now: float) -> None:
         key = wire.split_task(task.task)
         attempt = machine.attempts.get(key) if key else None
         if attempt is None or attempt.number != task.attempt:
             return
-        phase = observed_phase(task)
+        phase = reported_phase(task)
         if phase is None:
             self._log_unknown_state(task.state)
             return
@@ -98,7 +98,7 @@
                 self._failures.record_exit(machine, attempt, now)
 
     def _log_unknown_state(self, task_state: str) -> None:
-        """A state that this version does not know is ignored; workers may be newer than controllers."""
-        if task_state not in self._unknown_states and len(self._unknown_states) < UNKNOWN_STATES_KEPT:
-            self._unknown_states.add(task_state)
+        """Logs an unknown task state, which is otherwise ignored: workers may be newer than controllers."""
+        if task_state not in self._logged_states and len(self._logged_states) < MAX_LOGGED_STATES:
+            self._logged_states.add(task_state)
             log.warning("unknown task state reported state=%r", task_state)
