--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -1,4 +1,4 @@
-"""Which changes of an allocation's entries still apply, and what records say of an allocation's job. Pure."""
+"""Merges changes into allocation records, and reads the job of an allocation from its record. Pure functions."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationRecord, JobRecord, TaskEntry, TaskState
 
-# The time that a task gets to checkpoint, from the duration that its user states.
+# Applied to the checkpoint duration of the submission, to get the grace period.
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = 1.5, 1.0
 
 
@@ -18,14 +18,14 @@
 
 
 def checkpoint_grace_s(spec: wire.Submission) -> float:
-    """Seconds that a task that is told to stop gets to checkpoint; 0 if it never checkpoints."""
+    """Returns the seconds that a stopped task gets to checkpoint; 0 if it never checkpoints."""
     if spec.checkpoint_interval_s <= 0:
         return 0.0
     return spec.checkpoint_duration_s * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_MARGIN_S
 
 
 def is_live_gang(cluster: ClusterState, job: str) -> bool:
-    """Whether the job is on record, not cancelled, and its tasks start together."""
+    """Whether the job is on record, not cancelled, and a gang."""
     return is_live(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
 
 
@@ -37,10 +37,10 @@
 
 
 def _still_applies(entry: TaskEntry, new: TaskEntry, gang: bool) -> bool:
-    """Whether the entry still is what the change was decided for.
+    """Whether a planned change still applies to the current entry of its task.
 
-    A new attempt has the next number, in a gang the next that none of its members has had. Every other change belongs
-    to the attempt that it was decided for.
+    A new attempt has the next number; in a gang, the next that no member has had. Every other change applies only to
+    the attempt for which it was planned.
     """
     if new.state == records.ASSIGNED:
         newer = new.attempt > entry.attempt if gang else new.attempt == entry.attempt + 1
@@ -51,9 +51,9 @@
 def merge_changes(
     record: AllocationRecord, changes: dict[int, TaskEntry], gang: bool = False
 ) -> AllocationRecord | None:
-    """A copy of an allocation with some entries replaced, or None if no change applies any more.
+    """Returns a copy of an allocation with some entries replaced, or None if no change applies any more.
 
-    Members of a gang are assigned together: one whose entry has changed meanwhile cancels the change of all.
+    Members of a gang are assigned together: if the entry of one has changed meanwhile, none is assigned.
     """
     entries, changed = [], False
     for entry in record.tasks:
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -1,4 +1,4 @@
-"""Commands that go straight to workers' own addresses, instead of waiting for their next heartbeats."""
+"""Sends commands to workers' own addresses instead of waiting for their next heartbeats."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
 log = logging.getLogger(__name__)
 
 RESPONSE_TIMEOUT_S = 4.0
-SOCKETS_PER_CONNECTION = 8  # of all sockets, one in so many is for connections to workers
-MIN_CONNECTIONS, MAX_CONNECTIONS = 8, 150
-REPEAT_INTERVAL_S = 0.5  # between requests to one machine
-SILENT_REPEAT_INTERVAL_S = 2.0  # between tries to tell a silent machine that a task of it is cancelled
+SOCKETS_PER_WORKER_CONNECTION = 8  # one of this many sockets is for a connection to a worker
+MIN_WORKER_CONNECTIONS, MAX_WORKER_CONNECTIONS = 8, 150
+MIN_REQUEST_INTERVAL_S = 0.5  # between requests to one machine
+SILENT_REQUEST_INTERVAL_S = 2.0  # between requests to a silent machine that stop its cancelled tasks
 
 
 def direct_connections(sockets: int) -> int:
-    """How many connections to workers are kept, of a number of sockets.
+    """Returns the maximum number of open connections to workers for a number of sockets.
 
-    All of a fleet may need commands in the same second, and workers' own heartbeats, whose answers bring the same
-    commands, need the other sockets.
+    All machines of a fleet may need commands in the same second. The other sockets remain for the workers' heartbeats,
+    whose responses carry the same commands.
     """
-    return max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, sockets // SOCKETS_PER_CONNECTION))
+    return max(MIN_WORKER_CONNECTIONS, min(MAX_WORKER_CONNECTIONS, sockets // SOCKETS_PER_WORKER_CONNECTION))
 
 
 class CommandSender:
-    """Sends commands of all partitions of this controller over a bounded number of connections."""
+    """Sends the commands of all partitions of this controller over a limited number of connections."""
 
     def __init__(
         self, network: Network, permissions: Permissions, feed: RecordFeed, silent_s: float, sockets: int
     ) -> None:
         self._network, self._permissions, self._feed, self._silent_s = network, permissions, feed, silent_s
-        self._clients: dict[str, Requests] = {}  # by address, the one used last at the end
+        self._clients: dict[str, Requests] = {}  # by address, least recently used first
         self._max_connections = direct_connections(sockets)
-        self._slots = curio.Semaphore(self._max_connections)
-        self._queued: set[str] = set()  # machines whose commands wait for a connection
+        self._connection_slots = curio.Semaphore(self._max_connections)
+        self._awaiting_connection: set[str] = set()  # names of machines whose commands wait for a connection
 
     async def send(self, owned: OwnedPartition) -> None:
-        """Sends what the partition's machines need by the newest records; answers to heartbeats repeat what is lost."""
+        """Sends the commands that machines need by the newest records; heartbeat responses repeat undelivered ones."""
         partition = owned.partition
         if partition.state.records_read:
             self._feed.update(owned)
@@ -65,13 +65,13 @@
             silent = now - (machine.last_heartbeat_at or now) > self._silent_s
             if (
                 machine.next_command_at > now
-                or name in self._queued
+                or name in self._awaiting_connection
                 or (silent and name not in partition.machines_with_cancelled_tasks)
             ):
-                continue  # one that is silent would only keep a connection from others
-            machine.next_command_at = now + (SILENT_REPEAT_INTERVAL_S if silent else REPEAT_INTERVAL_S)
-            self._queued.add(name)
-            await curio.spawn(self._send_one, owned, machine, daemon=True)
+                continue  # a silent machine would block a connection until the timeout
+            machine.next_command_at = now + (SILENT_REQUEST_INTERVAL_S if silent else MIN_REQUEST_INTERVAL_S)
+            self._awaiting_connection.add(name)
+            await curio.spawn(self._send_to_machine, owned, machine, daemon=True)
 
     def _client(self, address: str) -> Requests:
         client = self._clients.pop(address, None) or self._network.client(address, 1)
@@ -80,10 +80,13 @@
             self._clients.pop(next(iter(self._clients)))
         return client
 
-    async def _send_one(self, owned: OwnedPartition, machine: Machine) -> None:
-        """Commands are worked out when there is a connection for them: in a mass start that may take a while."""
-        async with self._slots:
-            self._queued.discard(machine.name)
+    async def _send_to_machine(self, owned: OwnedPartition, machine: Machine) -> None:
+        """Plans and sends the machine's commands once a connection is free.
+
+        They are not planned earlier, since the wait for a connection may be long when many tasks start at once.
+        """
+        async with self._connection_slots:
+            self._awaiting_connection.discard(machine.name)
             now = time.monotonic()
             if self._permissions.owns(owned.partition) and self._permissions.may_command(now):
                 request = owned.partition.direct_commands.next_request(machine)
@@ -103,7 +106,7 @@
             try:
                 heartbeat = wire.heartbeat_decoder.decode(body)
             except msgspec.DecodeError as err:
-                log.warning("unreadable worker answer machine=%s error=%s", machine.name, err)
+                log.warning("cannot decode worker response machine=%s error=%s", machine.name, err)
         partition.direct_commands.on_response(machine, request, heartbeat, time.monotonic())
         if partition.terminal_attempts:
             await owned.wakeup.set()
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -1,12 +1,12 @@
-"""Gangs: jobs whose tasks run at the same time or not at all. Pure: no I/O, and no clock of its own.
+"""Gangs: jobs whose tasks run at the same time or not at all. No I/O and no clock.
 
-A gang is in one partition. All members of an attempt share its number, and workers find each other by it, so a number
-is never used for two sets of machines. Three things follow for the owner of the partition:
+All members of a gang are in one partition. They share the number of their attempt, by which workers find each other, so
+a number is never used for two sets of machines. The partition owner therefore follows three rules:
 
-- A member is told to start only when the records show *every* member assigned under the same number. Whoever owns the
-  partition next sees the same records and repeats the same starts, or none.
-- Once a member has left without completing, the attempt has failed: the others are told to stop, and the next number is
-  assigned only when the records show that none of them is assigned any more.
+- It sends start commands only when the records assign *every* member under the same number. The next owner of the
+  partition reads the same records, and repeats either all of these starts or none.
+- The attempt has failed once a member has left its machine without completing: the owner stops the other members, and
+  assigns the next number only when the records show that no member is assigned any more.
 - Members complete together, so one that is reported or recorded as completed proves that all have.
 """
 
@@ -26,14 +26,14 @@
 
 
 class GangState(enum.Enum):
-    """How far the newest attempt of a gang is."""
+    """Progress of the newest attempt of a gang."""
 
-    WAITING = "waiting"  # no member has a machine
-    ASSIGNING = "assigning"  # some members have a machine on record; none of this attempt was ever told to start
-    STARTING = "starting"  # all have a machine; they are told to start and fetch their image
-    GATHERING = "gathering"  # a member waits for the others
+    WAITING = "waiting"  # no member is assigned
+    ASSIGNING = "assigning"  # some members are on record as assigned; no start command of this attempt was sent
+    STARTING = "starting"  # all members are assigned; they are started and fetch their image
+    GATHERING = "gathering"  # a member waits for the other members
     RUNNING = "running"
-    STOPPING = "stopping"  # the attempt has failed; its members leave their machines
+    STOPPING = "stopping"  # the attempt has failed; its members are stopped
     ENDED = "ended"  # a member has completed, which proves that all have
 
 
@@ -56,20 +56,20 @@
 
 
 class MemberStop(NamedTuple):
-    """A member that has to leave its machine, and how many seconds it gets to checkpoint."""
+    """A member that has to be stopped, and the seconds that it gets to checkpoint."""
 
     member: TaskAttempt
     grace_s: float
 
 
 class GangAttempt:
-    """The newest attempt of one gang, as its partition's owner knows it from records and heartbeats.
+    """The newest attempt of one gang, built by the partition owner from records and heartbeats.
 
     Attributes:
-        size: How many members the gang has.
-        checkpoint_grace_s: Seconds that members get to checkpoint when they are told to stop; 0: they never do.
+        size: Number of members.
+        checkpoint_grace_s: Seconds that members get to checkpoint when they are stopped; 0 if they never checkpoint.
         attempt: The highest attempt number on record.
-        members: By task index, the members with a machine.
+        members: The assigned members, by task index.
     """
 
     def __init__(self, job: str, size: int, checkpoint_grace_s: float) -> None:
@@ -80,7 +80,7 @@
         self.members: dict[int, TaskAttempt] = {}
         self._entries: dict[AllocationKey, list[TaskEntry]] = {}
 
-    # Records and heartbeats coming in
+    # Records and heartbeats
 
     def apply_record(self, allocation: AllocationKey, entries: list[TaskEntry] | None) -> None:
         """Applies one allocation record, or its removal."""
@@ -91,22 +91,22 @@
             self.attempt = max([self.attempt, *(entry.attempt for entry in entries)])
 
     def update_state(self) -> None:
-        """Derives the state again after records or members have changed."""
-        state = self._observed()
+        """Derives the state from the current records and members."""
+        state = self._derived_state()
         if state is self.state:
             return
         if state not in _NEXT_STATES[self.state]:
-            return  # from an older message of a member; the gang itself never goes back
+            return  # an older message of a member; a gang never returns to an earlier state of the same attempt
         log.debug("gang state changed job=%s attempt=%d state=%s", self.job, self.attempt, state.value)
         self.state = state
 
-    def _observed(self) -> GangState:
+    def _derived_state(self) -> GangState:
         members = self.members.values()
         if self._completed():
             return GangState.ENDED
         if not members:
             return GangState.WAITING
-        if self._is_broken():
+        if self._has_failed():
             return GangState.STOPPING
         if len(self.members) < self.size:
             return GangState.ASSIGNING
@@ -122,28 +122,28 @@
             return True
         return any(entry.state == records.ENDED for entry in self._all_entries())
 
-    def _is_broken(self) -> bool:
-        """Whether a member has left, is leaving, or was started under another number than the rest."""
+    def _has_failed(self) -> bool:
+        """Whether a member has left, is being stopped, or was assigned under another number than the others."""
         if any(member.stop_requested or member.phase >= AttemptPhase.STOPPING for member in self.members.values()):
             return True
         if any(member.number != self.attempt for member in self.members.values()):
             return True
-        # One that is free under the newest number has been on a machine under it, and left.
+        # An unassigned member with the newest number was assigned under it, and has left its machine.
         return any(e.state != records.ASSIGNED and e.attempt >= self.attempt for e in self._all_entries())
 
     def _all_entries(self) -> Iterable[TaskEntry]:
         for entries in self._entries.values():
             yield from entries
 
-    # What follows
+    # Decisions
 
     @property
     def startable(self) -> bool:
-        """Whether members may be told to start: all of them are on record under one number."""
+        """Whether members may be started: all of them are on record under one number."""
         return self.state in _STARTABLE and len(self.members) == self.size
 
     def next_attempt(self) -> int | None:
-        """The attempt number for members that are assigned now, or None while none may be."""
+        """Returns the attempt number for members that are assigned now, or None while none may be assigned."""
         if self.state is GangState.WAITING:
             return self.attempt + 1
         if self.state is GangState.ASSIGNING:
@@ -151,9 +151,9 @@
         return None
 
     def waiting(self) -> list[tuple[AllocationKey, TaskEntry]]:
-        """Members without a machine."""
+        """Returns the unassigned members."""
         return [
-            (allocation, entry)  # a typed pair takes four times as long, in every placement round
+            (allocation, entry)  # a plain tuple, as a NamedTuple takes four times as long in every placement round
             for allocation, entries in self._entries.items()
             for entry in entries
             if entry.state == records.FREE
@@ -161,21 +161,21 @@
 
     @property
     def whole(self) -> bool:
-        """Whether every member is in this partition, with a machine or waiting for one."""
+        """Whether all members are in this partition, assigned or unassigned."""
         return len(self.members) + len(self.waiting()) >= self.size
 
     def to_stop(self) -> list[TaskAttempt]:
-        """Members that have to be told to stop because of what became of the others."""
-        staying = [m for m in self.members.values() if not m.stop_requested and m.phase < AttemptPhase.STOPPING]
+        """Returns the members to stop because another one completed, is being stopped or left without completing."""
+        unstopped = [m for m in self.members.values() if not m.stop_requested and m.phase < AttemptPhase.STOPPING]
         if self.state is GangState.STOPPING:
-            return staying
+            return unstopped
         if self.state is GangState.ENDED:
-            # These can't be found to have completed by waiting: nobody may ever have started them here.
-            return [member for member in staying if member.phase < AttemptPhase.RUNNING]
+            # Members that do not run may never have been started, so their completion may never be reported.
+            return [member for member in unstopped if member.phase < AttemptPhase.RUNNING]
         return []
 
     def grace_s(self) -> float:
-        """Seconds that members get to checkpoint. All do or none: there is nothing to keep once one has left."""
+        """Returns the seconds that members get to checkpoint; 0 once one has left, as they only checkpoint together."""
         if any(member.phase >= AttemptPhase.EXITED for member in self.members.values()):
             return 0.0
         requested = [member.grace_s for member in self.members.values() if member.stop_requested]
@@ -183,18 +183,18 @@
 
 
 class Gangs:
-    """The gangs of one partition, and which of them changed since members to stop were last asked for."""
+    """The gangs of one partition, and those that changed since the last call of `members_to_stop`."""
 
     def __init__(self) -> None:
         self._attempts: dict[str, GangAttempt] = {}
         self._changed: dict[str, None] = {}
 
     def get(self, job: str) -> GangAttempt | None:
-        """A gang by its job."""
+        """Returns the gang of a job, or None if the job is not a tracked gang."""
         return self._attempts.get(job)
 
     def track(self, job: str, size: int, checkpoint_grace_s: float = 0.0) -> GangAttempt:
-        """A gang, new or known, which counts as changed."""
+        """Returns the gang of a job, adds it if it is new, and marks it as changed."""
         gang = self._attempts.get(job)
         if gang is None:
             gang = self._attempts[job] = GangAttempt(job, size, checkpoint_grace_s)
@@ -202,17 +202,17 @@
         return gang
 
     def mark_changed(self, job: str) -> None:
-        """A task of the job changed; if the job is a gang, its state is derived again."""
+        """Marks the job's gang as changed; does nothing for a job that is not a tracked gang."""
         if job in self._attempts:
             self._changed[job] = None
 
     def drop(self, job: str) -> None:
-        """The job has ended, was cancelled, or has left the partition."""
+        """Stops tracking the gang of a job that ended, was cancelled or left the partition."""
         self._attempts.pop(job, None)
         self._changed.pop(job, None)
 
     def members_to_stop(self) -> list[MemberStop]:
-        """Derives the states of changed gangs; returns the members that have to stop because of that."""
+        """Derives the states of changed gangs; returns the members that have to be stopped as a result."""
         out: list[MemberStop] = []
         while self._changed:
             gang = self._attempts[next(iter(self._changed))]
