--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -18,7 +18,7 @@
 
 
 def checkpoint_grace_s(spec: wire.Submission) -> float:
-    """Returns the seconds that a stopped task gets to checkpoint; 0 if it never checkpoints."""
+    """Returns the seconds that a task gets to checkpoint when it is stopped; 0 if it never checkpoints."""
     if spec.checkpoint_interval_s <= 0:
         return 0.0
     return spec.checkpoint_duration_s * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_MARGIN_S
--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -28,7 +28,7 @@
         """
         out: list[wire.Command] = []
         if machine.late_commands_fenced:
-            # A start command that arrives late would run a forgotten attempt again.
+            # Without this check, a start command that arrives late would run a forgotten attempt again.
             forget = machine.to_forget
             if self._context.coverage is not None:
                 forget = self._forgettable_exits(machine, self._context.coverage)
@@ -64,7 +64,7 @@
         return {key: attempt for key, attempt in machine.to_forget.items() if key not in machine.unarchived}
 
     def _is_checkpointing(self, attempt: TaskAttempt) -> bool:
-        """Whether the task was stopped and has time left to checkpoint; gang members are still reported as running."""
+        """Whether a task being stopped has time left to checkpoint; workers still report gang members as running."""
         if attempt.grace_s <= 0:
             return False
         if attempt.stop_acknowledged_at is not None:
--- a/spurarch/coordination/partition/direct_commands.py
+++ b/spurarch/coordination/partition/direct_commands.py
@@ -35,8 +35,8 @@
     def _immediate_stops(machine: Machine) -> list[wire.Command]:
         """Returns the stops without a grace period, which may be sent while earlier commands may still take effect.
 
-        A machine whose heartbeats do not arrive never acknowledges the token that rules this out, and its cancelled
-        tasks must be stopped all the same.
+        A machine whose heartbeats do not arrive never acknowledges the higher token that rules out late commands, and
+        its cancelled tasks must be stopped all the same.
         """
         return [
             wire.Command(wire.STOP, wire.task_name(*attempt.key), attempt.number, 0.0)
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -153,7 +153,7 @@
     def waiting(self) -> list[tuple[AllocationKey, TaskEntry]]:
         """Returns the unassigned members."""
         return [
-            (allocation, entry)  # a plain tuple, as a NamedTuple takes four times as long in every placement round
+            (allocation, entry)  # a plain tuple; a typed pair takes four times as long, in every placement round
             for allocation, entries in self._entries.items()
             for entry in entries
             if entry.state == records.FREE
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -3,6 +3,8 @@
     ASSIGNED -> STARTING -> FETCHING -> (GATHERING ->) RUNNING -> (STOPPING ->) EXITED
         any phase before EXITED -> GONE once it is proved that the task is no longer on the machine
 
+An attempt is removed once its exit or absence is on record.
+
 Every change of an attempt's phase goes through `TaskAttempt.transition`, and every change of a machine's state through
 `Machine.transition`.
 """
@@ -15,7 +17,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey
 
-CLOCK_DRIFT = 1.001  # assumed maximum ratio of the clock rates of a worker and its partition owner
+CLOCK_DRIFT = 1.001  # maximum ratio of the clock rates of a worker and its partition owner
 LEASE_MARGIN_S = 0.5
 
 TaskKey = tuple[str, int]  # job and index; a plain tuple, as each heartbeat creates and compares one per task
