--- a/spurarch/coordination/membership/__init__.py
+++ b/spurarch/coordination/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Member leases, leader election, partition ownership, and what this controller may do at the moment."""
+"""Member leases, leader election, partition ownership, and which actions are currently permitted to this controller."""
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -1,8 +1,8 @@
-"""Which controllers live, which one leads, and which partitions this one owns.
+"""Membership of this controller, leader election, and claims of the partitions assigned to this controller.
 
-Leases of the state service decide *when* another controller takes over. That this is safe rests on epochs alone: every
-change of a partition's owner raises its epoch, and every transaction of an owner guards the version of the partition's
-record.
+Leases in the state service determine *when* another controller takes over. Safety depends on epochs only: every change
+of a partition's owner raises the partition's epoch, and every transaction of an owner is guarded by the version of the
+partition's record.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 log = logging.getLogger(__name__)
 
-ISOLATION_S = 60.0  # how long another controller should own a zone whose heartbeats don't come here
+ISOLATION_S = 60.0  # for which another owner is preferred for a zone whose heartbeats don't arrive here
 ROUND_INTERVAL_S = 0.05
 COMMIT_TIMEOUT_S = 2.0
 GRANT_RETRY_S = 0.2
@@ -33,19 +33,23 @@
 
 
 def gangs_supported(members: dict[str, MemberRecord]) -> bool:
-    """Every living controller starts the tasks of a gang together, so whichever leads or owns a partition next will."""
+    """Whether every member's version starts a gang as a whole, so that any future leader or partition owner does."""
     return bool(members) and all(member.starts_gangs for member in members.values())
 
 
 class MemberLease:
-    """The lease of the state service that keeps this controller's member record in existence."""
+    """The lease in the state service that this controller's member record is attached to.
+
+    Attributes:
+        id: The id of the lease, or None while there is none.
+    """
 
     def __init__(self, store: Store, node: str, ttl_s: float) -> None:
         self._store, self._node, self._ttl_s = store, node, ttl_s
         self.id: int | None = None
 
     def mark_expired(self) -> None:
-        """The state service knows the lease no more: another one is needed."""
+        """Discards the id of an expired lease, so that `run` obtains a new one."""
         self.id = None
 
     async def run(self) -> None:
@@ -57,16 +61,17 @@
                     await curio.sleep(GRANT_RETRY_S)
                     continue
             await curio.sleep(self._ttl_s / RENEWALS_PER_TTL)
-            lease = self.id  # a commit of the member record may have found it expired meanwhile
+            lease = self.id  # None if a commit found the lease expired during the sleep
             if lease is not None and await self._store.extend(lease) is False:
                 log.info("membership lease expired node=%s", self._node)
                 self.mark_expired()
 
 
 class Membership:
-    """Keeps this controller a member, elects a leader, and claims the partitions that are assigned to it.
+    """Maintains this controller's membership, takes part in leader elections, and claims assigned partitions.
 
-    `area` is the zone in which this controller runs; `version` says what its process can do.
+    `area` is the zone in which this controller runs. `version` is the program version of its process, by which other
+    members determine what the process supports.
     """
 
     def __init__(
@@ -89,7 +94,7 @@
 
     @property
     def leading(self) -> bool:
-        """This process is the leader on record."""
+        """Whether this process is the leader on record."""
         leader = self._replica.state.leader
         return (
             leader is not None and leader.node == self.node and leader.process_incarnation == self._process_incarnation
@@ -97,42 +102,43 @@
 
     @property
     def confirmed_term(self) -> int | None:
-        """The term under which this process leads, by a copy that holds all that was recorded before it; else None.
+        """The term in which this process leads, or None if it doesn't lead or its copy of the records isn't complete.
 
-        The term is the version of the leader's record. A copy may show that record and yet be older: pages are read one
-        after the other, and the own transaction is known at once. A leader that admits by such a copy exceeds quotas
-        (docs/incidents/2026-12-02-team-limit.md).
+        The term is the version of the leader record. The copy is complete if it holds all changes made before the term.
+        It may contain the leader record earlier than that: pages of records are read one after the other, and
+        transactions of this process are applied to the copy at once. A leader that admits by an incomplete copy exceeds
+        quotas (docs/incidents/2026-12-02-team-limit.md).
         """
         state = self._replica.state
         term = state.version(records.LEADER)
         return term if self.leading and self._replica.consistent and state.revision >= term else None
 
     def owned_record(self, zone: str) -> PartitionRecord | None:
-        """The record of the zone's partition if this process owns it."""
+        """The record of the zone's partition if this process owns it, else None."""
         partition = self._replica.state.partitions.get(zone)
         if partition is None or partition.node != self.node:
             return None
         return partition if partition.process_incarnation == self._process_incarnation else None
 
     def mark_isolated(self, zone: str, now: float) -> None:
-        """The heartbeats of a zone seem not to reach this controller: another one should own it for a while."""
+        """Marks a zone whose heartbeats don't seem to arrive here; another owner is preferred for `ISOLATION_S`."""
         self._isolated_until[zone] = now + ISOLATION_S
 
     def set_unreachable(self, zone: str, unreachable: bool) -> None:
-        """Whether no controller receives the heartbeats of a zone owned here, which then gets no tasks nor machines."""
+        """Sets whether no controller receives heartbeats of an owned zone, which then gets no tasks or machines."""
         if unreachable:
             self._unreachable_zones.add(zone)
         else:
             self._unreachable_zones.discard(zone)
 
     async def run(self) -> None:
-        """Keeps membership, leadership and claims up to date until cancelled."""
+        """Keeps membership, leadership and partition claims up to date until cancelled."""
         while True:
             try:
                 await self._update()
             except curio.CancelledError:
                 raise
-            except Exception:  # a failure here must not end the controller
+            except Exception:  # an unexpected error must not end the controller
                 log.exception("membership round failed")
             await self._wakeup.wait()
             self._wakeup.clear()
@@ -148,9 +154,10 @@
                 await self._assign()
 
     async def claim(self) -> None:
-        """Raises the epoch of every partition that is assigned to this controller and not yet claimed by this process.
+        """Claims every partition that is assigned to this controller but not yet claimed by this process.
 
-        A process that starts again claims at once: what its predecessor sent carries lower fencing tokens from then on.
+        A claim raises the partition's epoch. A restarted process claims at once, so that its fencing tokens are higher
+        than those of all messages that its predecessor sent.
         """
         for zone, partition in list(self._replica.state.partitions.items()):
             if partition.node == self.node and partition.process_incarnation != self._process_incarnation:
@@ -169,7 +176,7 @@
             await self._commit_with_lease(records.MEMBER + self.node, record)
 
     async def _elect(self) -> None:
-        """Makes this controller the leader if it is a member and there is no leader that can go on."""
+        """Makes this controller the leader if it is a member and the leadership is vacant."""
         member = self._replica.state.members.get(self.node)
         joined = member is not None and member.process_incarnation == self._process_incarnation
         if not joined or self.lease.id is None or not self._leadership_is_vacant():
@@ -179,7 +186,11 @@
             log.info("leadership acquired term=%d revision=%d", result.revision, self._replica.state.revision)
 
     def _leadership_is_vacant(self) -> bool:
-        """Nobody leads, or a predecessor of this process, or a version that would start a gang's tasks one by one."""
+        """Whether there is no leader, or one that has to be replaced.
+
+        That is an earlier process of this controller, or, while gangs are on record, a version that would start their
+        tasks one by one.
+        """
         leader = self._replica.state.leader
         if leader is None:
             return True
@@ -189,7 +200,7 @@
         return self._gangs_on_record() and member is not None and not member.starts_gangs
 
     def _gangs_on_record(self) -> bool:
-        """There are gangs on record, and this version knows what that means."""
+        """Whether there are gangs on record and this process's version supports them."""
         return self._version >= records.GANG_VERSION and self._replica.state.gangs > 0
 
     async def _assign(self) -> None:
@@ -200,7 +211,7 @@
         await self._assigner.assign(self._gangs_on_record())
 
     async def _commit_with_lease(self, key: str, record: MemberRecord | LeaderRecord) -> TransactionResult:
-        """Writes a record that is deleted when the member lease expires."""
+        """Writes a record that the state service deletes when the member lease expires."""
         result = await self._commit(Write(key, record, self.lease.id))
         if result.status is TransactionStatus.NO_LEASE:
             self.lease.mark_expired()
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -1,4 +1,4 @@
-"""The leader's assignment of partitions to controllers. Loaded by a controller once it leads."""
+"""Assignment of partitions to controllers by the leader. Imported when a controller becomes the leader."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-SETTLED_AFTER_S = 4.0
+STABLE_AFTER_S = 4.0  # as a member without a restart, before taking a partition from a live owner
 ASSIGNMENT_TIMEOUT_S = 2.0
 
 
@@ -22,35 +22,36 @@
     zones: list[str],
     partitions: dict[str, PartitionRecord],
     members: dict[str, MemberRecord],
-    settled: set[str],
+    stable_members: set[str],
     gangs: bool = False,
 ) -> dict[str, str]:
-    """The partitions, by zone, that should change their owner, and the new owners' nodes.
-
-    A partition is a whole zone. It goes to a controller in its own zone if there is one, so that a zone cut off from
-    the others keeps working; else to the living controller with the fewest partitions. `settled` are members that have
-    lived long enough to take a partition from an owner that is alive. A member that seems not to receive the heartbeats
-    of a zone is passed over for that zone, and gives it up, as long as there is another. While `gangs` are on record,
-    members of a version that does not start their tasks together own nothing.
+    """Returns the new owner's node, by zone, of each partition that needs a new owner.
+
+    A partition comprises a whole zone. It is assigned to a controller in the same zone if there is one, so that a zone
+    partitioned from the others keeps working; otherwise to the live controller with the fewest partitions. Only
+    `stable_members`, which have been members long enough, take a partition from a live owner that receives the zone's
+    heartbeats. A member that doesn't receive them doesn't get the partition, and has to hand it over, as long as
+    another member does. `gangs` is whether gangs are on record; if so, members whose version doesn't start a gang's
+    tasks together own no partitions.
     """
     if gangs:
         members = {node: member for node, member in members.items() if member.starts_gangs}
-    assignment = _Assignment(zones, partitions, members, settled)
+    assignment = _Assignment(zones, partitions, members, stable_members)
     new_owners = {zone: assignment.new_owner(zone) for zone in zones}
     return {zone: node for zone, node in new_owners.items() if node is not None}
 
 
 class _Assignment:
-    """One pass over the zones. The owned partitions are counted as they will be after the changes made so far."""
+    """One pass over the zones. Counts of owned partitions include the changes decided so far."""
 
     def __init__(
         self,
         zones: list[str],
         partitions: dict[str, PartitionRecord],
         members: dict[str, MemberRecord],
-        settled: set[str],
+        stable_members: set[str],
     ) -> None:
-        self._partitions, self._members, self._settled = partitions, members, settled
+        self._partitions, self._members, self._stable_members = partitions, members, stable_members
         self._owned_count = dict.fromkeys(members, 0)
         for zone in zones:
             owner = self._living_owner(zone)
@@ -62,12 +63,12 @@
         return partition.node if partition is not None and partition.node in self._members else None
 
     def new_owner(self, zone: str) -> str | None:
-        """The member that should take over the zone's partition; None if it stays where it is."""
+        """Returns the member that should take over the zone's partition, and counts it; None if the owner stays."""
         owner = self._living_owner(zone)
-        hearing = [member for member in self._members.values() if zone not in member.isolated_zones]
-        if not hearing and owner is not None:
+        receiving = [member for member in self._members.values() if zone not in member.isolated_zones]
+        if not receiving and owner is not None:
             return None
-        candidates = hearing or list(self._members.values())
+        candidates = receiving or list(self._members.values())
         local = [member.node for member in candidates if member.area == zone]
         choice = min(
             local or [member.node for member in candidates],
@@ -78,7 +79,7 @@
             return None
         if owner is not None and zone not in self._members[owner].isolated_zones:
             uneven = self._owned_count[owner] > self._owned_count[choice] + 1
-            if owner in local or choice not in self._settled or not (local or uneven):
+            if owner in local or choice not in self._stable_members or not (local or uneven):
                 return None
             self._owned_count[owner] -= 1
         self._owned_count[choice] += 1
@@ -86,24 +87,26 @@
 
 
 class _FirstSeen(NamedTuple):
-    """A member's process, and when it was first seen, by the monotonic clock."""
+    """A member's process, and the monotonic time at which this process first saw it as a member."""
 
     process_incarnation: str
     seen_at: float
 
 
 class PartitionAssigner:
-    """Assigns partitions on behalf of the leader."""
+    """Assigns partitions while this controller leads."""
 
     def __init__(self, replica: Replica, zones: list[str]) -> None:
         self._replica, self._zones = replica, zones
         self._first_seen: dict[str, _FirstSeen] = {}
 
     async def assign(self, gangs: bool) -> None:
-        """Records new owners where partitions should change hands; `gangs`: there are some on record."""
+        """Writes the records of partitions that need a new owner; `gangs`: whether any gangs are on record."""
         state = self._replica.state
-        settled = self._settled_members(time.monotonic())
-        for zone, node in assign_partitions(self._zones, state.partitions, state.members, settled, gangs).items():
+        stable_members = self._find_stable_members(time.monotonic())
+        for zone, node in assign_partitions(
+            self._zones, state.partitions, state.members, stable_members, gangs
+        ).items():
             partition = state.partitions.get(zone)
             record = PartitionRecord(node, partition.epoch + 1 if partition else 1)
             log.info("partition assigned partition=%s node=%s epoch=%d", zone, node, record.epoch)
@@ -114,12 +117,12 @@
                 urgency=Urgency.MEMBERSHIP,
             )
 
-    def _settled_members(self, now: float) -> set[str]:
+    def _find_stable_members(self, now: float) -> set[str]:
         members = self._replica.state.members
         for node, member in members.items():
             seen = self._first_seen.get(node)
             if seen is None or seen.process_incarnation != member.process_incarnation:
                 self._first_seen[node] = _FirstSeen(member.process_incarnation, now)
         return {
-            node for node, seen in self._first_seen.items() if node in members and now - seen.seen_at >= SETTLED_AFTER_S
+            node for node, seen in self._first_seen.items() if node in members and now - seen.seen_at >= STABLE_AFTER_S
         }
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -1,4 +1,4 @@
-"""What this controller may do at the moment, by what it knows of its own standing."""
+"""Which actions this controller may take, by the age of its records, its partition ownership and recent stalls."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 if TYPE_CHECKING:
     from spurarch.coordination.partition.partition import Partition
 
-FRESH_COPY_S = 2.0
+FRESH_COPY_AGE_S = 2.0
 
 
 class Permissions:
-    """Asked before every answer, command, release of a machine and conclusion.
+    """Checked before every heartbeat response, command, machine release, and conclusion from missing heartbeats.
 
-    `now` is a time of the monotonic clock; `cancel_s` is the deployment's.
+    `now` is monotonic time in seconds. `cancel_s` is the deployment's time within which the tasks of a cancelled job
+    have to be off their machines.
     """
 
     def __init__(
@@ -35,44 +36,53 @@
         self._cancel_s = cancel_s
 
     def may_answer(self, now: float) -> bool:
-        """May answer heartbeats and so extend workers' leases: no cancellation can have been missed for too long."""
+        """Whether heartbeats may be answered; renewed leases then can't make a missed cancellation overdue."""
         return self.reachability.may_answer(self._replica.synced_at, now)
 
     def may_command(self, now: float) -> bool:
-        """May send commands: it may answer, and the process did not stall since the newest attestation."""
+        """Whether commands may be sent: heartbeats may be answered, and no stall followed the newest attestation."""
         return self.may_answer(now) and self.is_not_stalled(now)
 
     def is_not_stalled(self, now: float) -> bool:
-        """The process has not stalled, or there has been an attestation of freshness since it resumed."""
+        """Whether the process never stalled, or has an attestation of freshness from after it resumed."""
         return self._stall_detector.confirmed_since_stall(
             now, self.reachability.freshness_bound(self._replica.synced_at)
         )
 
     def records_are_fresh(self, now: float) -> bool:
-        """The copy of the records is recent: what only improves placement waits while another may own the partition."""
-        return now - self._replica.synced_at < FRESH_COPY_S and self.is_not_stalled(now) and self._replica.store.trusted
+        """Whether the copy of the records is recent and can be trusted.
+
+        While it isn't, another controller may own the partition, so work that can wait, such as improving a placement,
+        is postponed.
+        """
+        return (
+            now - self._replica.synced_at < FRESH_COPY_AGE_S
+            and self.is_not_stalled(now)
+            and self._replica.store.trusted
+        )
 
     def owns(self, partition: Partition) -> bool:
-        """The partition is still owned under the epoch under which its state in memory was begun.
+        """Whether this process still owns the partition in the epoch for which its state in memory was created.
 
-        Under a later epoch, even of our own, that state may be outdated: another controller may have owned it
-        meanwhile.
+        In a later epoch, even if this process owns that too, the state may be outdated: another controller may have
+        owned the partition in between.
         """
         record = self._membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
 
     def superseded(self, zone: str) -> bool:
-        """Another controller owns the zone's partition by now, as told by a peer whose copy is newer than ours."""
-        known = self.reachability.partitions_by_peers.get(zone)
-        if known is None or known.node == self._membership.node:
+        """Whether a peer reported, from newer records, that another controller owns the zone's partition."""
+        reported = self.reachability.partitions_by_peers.get(zone)
+        if reported is None or reported.node == self._membership.node:
             return False
         partition = self._replica.state.partitions.get(zone)
-        return partition is None or known.epoch > partition.epoch
+        return partition is None or reported.epoch > partition.epoch
 
     def time_since_cancellation(self, job: str) -> float | None:
-        """Seconds since a job was cancelled, as far as can be told; None if it is not known to be cancelled.
+        """Seconds since a job was cancelled, or None if neither the records nor the peers report a cancellation.
 
-        For a cancellation on record, this is between 0 and `cancel_s`, and 0 if the record has no time.
+        For a cancellation on record, the result is limited to 0..`cancel_s`, and is 0 if the record holds no time. For
+        one that only peers reported, it is the time since the first report.
         """
         record = self._replica.state.jobs.get(job)
         if record is not None and record.cancelled:
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -1,23 +1,27 @@
-"""Whether this controller may still act while it can't reach the state service.
-
-An outage and a refusal of this controller alone look the same from here. Running work should live through both, but a
-cancellation may be confirmed elsewhere meanwhile, and its tasks have to be gone within `cancel_s`. So the partition
-owner goes on answering heartbeats only while its newest *attestation of freshness* is young enough. An attestation of
-time T says that this controller knows every cancellation that anybody confirmed before T. The newest one, the
-*freshness bound*, is the latest of
+"""Whether this controller may keep acting while it can't reach the state service.
+
+This controller can't distinguish an outage of the state service from a partition or refusal that affects only itself.
+Running tasks should survive both, but another controller may confirm a cancellation meanwhile, and the tasks of the
+cancelled job have to be off their machines within `cancel_s`. So a partition owner answers heartbeats only while its
+newest *attestation of freshness* is recent enough. An attestation of time T proves that this controller has received
+every cancellation that any controller confirmed before T. The time of the newest attestation, the *freshness bound*, is
+the latest of
   - the time at which the newest successful read of the state service was sent;
-  - the same of a peer, which passes on all that its copy holds: the time of our ping, less the age of that copy;
-  - the earliest of the latest pings that *every* peer answered with an attestation. A peer's process attests to what
-    its node confirmed: to its own confirmations, since its list holds them; and to those of its predecessors, if it has
-    read the state service since it started, or started before an earlier attestation. One that restarted within an
-    outage can't attest: its predecessor may have confirmed a cancellation and ended (docs/incidents/2026-12-02-gap.md).
-Silence attests to nothing: that nobody reaches the service now says nothing of what was confirmed before.
-
-The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` keeps its worker alive for `lease_s`
-at most, so every task is gone before `freshness bound + cancel_s`, and no cancellation was confirmed before the bound
-without our knowing of it.
-
-All times are of the monotonic clock, in seconds.
+  - the same for a peer, whose pong lists all cancellations in its copy of the records: the time at which this
+    controller sent the ping, less the age of that copy;
+  - the earliest, over *all* peers, of the latest ping that the peer answered with an attestation. A peer's process
+    attests to the cancellations that its node confirmed: to its own, which its pong lists; and to those of the node's
+    earlier processes, if it has read the state service since it started, or started before the freshness bound. A
+    process that restarted within an outage can't attest: its predecessor may have confirmed a cancellation and ended
+    (docs/incidents/2026-12-02-gap.md).
+A missing response attests to nothing: even if no controller reaches the service now, one may have confirmed a
+cancellation before.
+
+The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` renews its worker's lease for
+`lease_s` at most, so every task is off its machine before `freshness bound + cancel_s`, and this controller has
+received every cancellation confirmed before the bound.
+
+All times are monotonic, in seconds.
 """
 
 from __future__ import annotations
@@ -26,90 +30,104 @@
 
 from spurarch.protocol import peer_messages
 
-CLOCK_DRIFT = 1.001  # how much faster one clock may run than another
-MARGIN_S, MARGIN_SHARE = 1.0, 0.05  # the share is of `cancel_s`
-RESPONSE_VALID_S = 4.0
+CLOCK_DRIFT = 1.001  # maximum ratio between the rates of two clocks
+MARGIN_S, MARGIN_SHARE = 1.0, 0.05  # safety margin: a constant, plus a share of `cancel_s`
+RESPONSE_VALID_S = 4.0  # for which a peer counts as responding after a pong
 NEVER = float("-inf")
 
 
 class KnownOwner(Struct, frozen=True):
-    """Who owns a partition, as a peer told."""
+    """The owner of a partition and its epoch, as reported by a peer."""
 
     node: str
     epoch: int
 
 
 class _PeerResponse(Struct, frozen=True):
-    """The process of a peer that answered last, and when its answer came."""
+    """The process that sent a peer's latest pong, and when the pong was received."""
 
     process_incarnation: str
     received_at: float
 
 
 class StoreReachability:
-    """Collects attestations of freshness, and what else peers tell of records that can't be read.
+    """Collects attestations of freshness, and the cancellations and partition owners that peers report.
+
+    `peers` are the nodes of all other controllers. `cancel_s` and `lease_s` are settings of the deployment.
 
-    `peers` are the nodes of all other controllers; `cancel_s` and `lease_s` are the deployment's.
+    Attributes:
+        freshness_limit_s: Age of the freshness bound from which on heartbeats may not be answered.
+        cancelled_by_peers: By job, when a peer first reported its cancellation.
+        partitions_by_peers: By zone, the reported owner with the highest epoch.
+        peer_reached_store_at: When the latest ping was sent that a peer with access to the state service answered.
     """
 
     def __init__(self, peers: list[str], cancel_s: float, lease_s: float) -> None:
         margin_s = MARGIN_S + MARGIN_SHARE * cancel_s
         self.freshness_limit_s = (cancel_s - lease_s) / CLOCK_DRIFT - margin_s
-        self._attested_at = dict.fromkeys(peers, NEVER)
-        self._peer_copy_complete_at = NEVER  # the newest copy of a peer whose cancellations were passed on to us
+        self._attested_at = dict.fromkeys(peers, NEVER)  # by peer: sending time of the latest ping that it attested to
+        self._peer_copy_complete_at = NEVER  # newest time for which a pong listed all earlier cancellations
         self._last_responses: dict[str, _PeerResponse] = {}  # by peer
-        self.cancelled_by_peers: dict[str, float] = {}  # when each job was first told of
-        self.partitions_by_peers: dict[str, KnownOwner] = {}  # by zone, the highest epoch
+        self.cancelled_by_peers: dict[str, float] = {}
+        self.partitions_by_peers: dict[str, KnownOwner] = {}
         self.peer_reached_store_at = NEVER
 
     def on_pong(
-        self, peer: str, sent_at: float, received_at: float, answer: peer_messages.Pong, synced_at: float
+        self, peer: str, sent_at: float, received_at: float, pong: peer_messages.Pong, synced_at: float
     ) -> None:
-        """A peer answered the ping sent at `sent_at`; the newest read of our own was sent at `synced_at`."""
-        self.record_cancelled(answer.cancelled_jobs, received_at)
-        for zone, node, epoch in answer.partitions:
-            known = self.partitions_by_peers.get(zone)
-            if epoch > (known.epoch if known is not None else 0):
+        """Applies a peer's pong.
+
+        Args:
+            peer: Node of the peer.
+            sent_at: When the ping was sent.
+            received_at: When the pong was received.
+            pong: The pong.
+            synced_at: When this controller's newest successful read of the state service was sent.
+        """
+        self.record_cancelled(pong.cancelled_jobs, received_at)
+        for zone, node, epoch in pong.partitions:
+            reported = self.partitions_by_peers.get(zone)
+            if epoch > (reported.epoch if reported is not None else 0):
                 self.partitions_by_peers[zone] = KnownOwner(node, epoch)
-        self._last_responses[peer] = _PeerResponse(answer.process_incarnation, received_at)
+        self._last_responses[peer] = _PeerResponse(pong.process_incarnation, received_at)
         bound_before = self.freshness_bound(synced_at)
-        if answer.store_reachable:
+        if pong.store_reachable:
             self.peer_reached_store_at = max(self.peer_reached_store_at, sent_at)
             self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent_at)
-        elif answer.copy_age_s >= 0:
-            copied_at = sent_at - answer.copy_age_s * CLOCK_DRIFT
+        elif pong.copy_age_s >= 0:
+            copied_at = sent_at - pong.copy_age_s * CLOCK_DRIFT
             self._peer_copy_complete_at = max(self._peer_copy_complete_at, copied_at)
-        elif received_at - answer.uptime_s / CLOCK_DRIFT > bound_before:
-            return  # its predecessor may have confirmed what nobody else knows
+        elif received_at - pong.uptime_s / CLOCK_DRIFT > bound_before:
+            return  # an earlier process of the peer may have confirmed a cancellation that no other controller received
         if peer in self._attested_at:
             self._attested_at[peer] = max(self._attested_at[peer], sent_at)
 
     def record_cancelled(self, jobs: list[str], now: float) -> None:
-        """A peer told that jobs are cancelled on record."""
+        """Records cancellations that a peer reported."""
         for job_id in jobs:
             self.cancelled_by_peers.setdefault(job_id, now)
 
     def discard_confirmed(self, synced_at: float) -> None:
-        """Forgets the cancellations told before a read of our own: the copy holds them."""
+        """Drops cancellations reported before the newest read of the state service: the copy contains them."""
         if self.cancelled_by_peers:
             self.cancelled_by_peers = {job_id: at for job_id, at in self.cancelled_by_peers.items() if at >= synced_at}
 
     def peer_responds(self, peer: str, now: float, process_incarnation: str | None = None) -> bool:
-        """The peer has answered a ping lately, and did so by the given process if one is given."""
+        """Whether the peer answered a ping recently; with `process_incarnation`, whether that process did."""
         response = self._last_responses.get(peer)
         if response is None or now - response.received_at >= RESPONSE_VALID_S:
             return False
         return process_incarnation in (None, response.process_incarnation)
 
     def outage(self, now: float) -> bool:
-        """A peer answers and none reaches the state service either: not this controller alone is cut off."""
+        """Whether peers respond but don't reach the state service either, which indicates an outage of the service."""
         responding = any(now - response.received_at < RESPONSE_VALID_S for response in self._last_responses.values())
         return responding and now - self.peer_reached_store_at > RESPONSE_VALID_S
 
     def freshness_bound(self, synced_at: float) -> float:
-        """Time of the newest attestation: every cancellation confirmed before it is known here."""
+        """Time of the newest attestation: this controller has received every cancellation confirmed before it."""
         return max(synced_at, self._peer_copy_complete_at, min(self._attested_at.values(), default=NEVER))
 
     def may_answer(self, synced_at: float, now: float) -> bool:
-        """Heartbeats may be answered: no cancellation can have been missed for too long."""
+        """Whether heartbeats may be answered: the freshness bound is recent enough."""
         return now - self.freshness_bound(synced_at) < self.freshness_limit_s
