--- a/spurarch/coordination/partition/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -1,4 +1,4 @@
-"""A partition that this controller owns, with what its owner keeps beside it, and what owners work with."""
+"""A partition owned by this controller with its owner's working state, and the dependencies of an owner."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     from spurarch.coordination.partition.terminal_records import TerminalRecords
     from spurarch.coordination.scheduling.placement import TaskPlacer
 
-SILENT_HEARTBEATS = 2.5  # intervals without a heartbeat after which a machine counts as silent
+SILENT_HEARTBEATS = 2.5  # heartbeat intervals without a heartbeat after which a machine counts as silent
 
 
 class OwnerContext(Struct, frozen=True):
-    """The parts of a controller that the owner of partitions works with.
+    """Dependencies of a partition owner.
 
     Attributes:
-        lag: How late the event loop is; searches are put off meanwhile.
-        coverage: Tells what the archive holds; None without an archive.
+        lag: Lag of the event loop; local searches are postponed while it is high.
+        coverage: Which changes the archive holds; None without an archive.
     """
 
     replica: Replica
@@ -54,14 +54,16 @@
 
 
 class OwnedPartition:
-    """A partition and the times, flags and pending work of its owner.
+    """A partition, with the timers, flags and pending changes that its owner keeps. Times are monotonic, in seconds.
 
     Attributes:
-        changed_keys: Records that changed and are not applied to the partition yet.
-        wakeup: Set when the partition's next round has something to do.
+        changed_keys: Keys of changed records that are not applied to the partition yet, in order.
+        wakeup: Set when there is work for the partition's next round.
+        last_deletion_at: When allocations of finished jobs were last deleted.
         last_populated_at: When the partition last had machines.
-        provisional: The partition works by records that were read before its claim, to stop cancelled tasks only.
-        mostly_silent: Most machines of the partition are silent.
+        provisional: The state comes from records read before the claim, and serves only to stop cancelled tasks.
+        mostly_silent: Whether most machines of the partition are silent.
+        mostly_silent_since: Since when most machines are silent; None if they aren't.
     """
 
     def __init__(self, partition: Partition, tuning: Tuning, silent_s: float) -> None:
@@ -74,7 +76,7 @@
         self.next_idle_check = 0.0
         self.next_silence_check = 0.0
         self.next_overdue_check = 0.0
-        self.deleted_at = 0.0  # when allocations of jobs that are over were last deleted
+        self.last_deletion_at = 0.0
         self.last_populated_at = partition.claimed_at
         self.is_running = False
         self.provisional = False
@@ -83,14 +85,14 @@
 
     @cached_property
     def placer(self) -> TaskPlacer:
-        """Places new tasks here; loaded with the first round, since answers to workers don't need it."""
+        """Places waiting tasks. Imported by the first round, since answering workers doesn't need it."""
         from spurarch.coordination.scheduling.placement import TaskPlacer
 
         return TaskPlacer(self._tuning.longest_wait_s, self._tuning.guarantee_wait_s, self._silent_s)
 
     @cached_property
     def terminal_records(self) -> TerminalRecords:
-        """Works out which ends have to be recorded; loaded with the first round."""
+        """Determines which ended tasks have to be recorded. Imported by the first round."""
         from spurarch.coordination.partition.terminal_records import TerminalRecords
 
         return TerminalRecords(self.partition.state)
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -1,4 +1,4 @@
-"""The partitions that this controller owns: heartbeats come in, rounds and commands run for each partition."""
+"""The partitions that this controller owns: answers heartbeats, and runs rounds and commands of each partition."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_S = 0.03  # between two looks at which partitions are owned
+UPDATE_PAUSE_S = 0.03  # between updates of the set of owned partitions
 COMMAND_INTERVAL_S = 0.1
-UNREGISTERED_KEPT_S = 5.0  # a worker that looks for its owner sends heartbeats more often than that
+UNREGISTERED_VALID_S = 5.0  # longer than the interval between heartbeats of a worker that searches for its owner
 
 
 class PartitionOwner:
     """All partitions of this controller.
 
     Attributes:
-        owned: By zone, the partitions that are owned now, or were until a moment ago.
-        permissions: What this controller may do at the moment.
+        owned: Owned partitions by zone. One whose ownership ended stays in it until the next update.
+        permissions: Which actions this controller may take at present.
         scale_in: Releases machines of the owned partitions.
-        unregistered_machine_found: Set when a worker looks for its owner that the owner believes unreachable.
+        unregistered_machine_found: Set when a heartbeat arrives from a zone that its owner has marked as unreachable.
     """
 
     def __init__(self, context: OwnerContext) -> None:
@@ -63,7 +63,7 @@
             ),
             self.owned,
         )
-        self._unregistered_machines: dict[str, dict[str, float]] = {}  # by zone and name, when they were last heard
+        self._unregistered_machines: dict[str, dict[str, float]] = {}  # by zone and name: time of the last heartbeat
         self.unregistered_machine_found = curio.Event()
         self._wakeup = context.replica.listen()
         self._changed_keys = context.replica.state.subscribe()
@@ -88,14 +88,14 @@
     # Heartbeats
 
     async def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float) -> Response:
-        """Answers a heartbeat: 200 as owner, 421 to redirect the worker, 503 if the owner can't be told.
+        """Answers a heartbeat: 200 as owner, 421 to redirect the worker, 503 if neither is possible at present.
 
         Args:
             heartbeat: What the worker sent.
             now: Monotonic time in seconds.
         """
         zone = heartbeat.zone
-        new_owner = self._owner_by_peers(zone, now)
+        new_owner = self._reported_owner(zone, now)
         if new_owner is not None:
             return Response(421, wire.encode(wire.Redirect(new_owner)))
         if self._membership.owned_record(zone) is None:
@@ -114,25 +114,26 @@
         token = state.fencing_token(machine)
         return Response(200, wire.encode(wire.HeartbeatResponse(token, commands)))
 
-    def _owner_by_peers(self, zone: str, now: float) -> str | None:
-        """The peer that owns a zone by what peers said, if it lives and this controller does not know yet."""
-        by_peers = self._context.reachability.partitions_by_peers.get(zone)
+    def _reported_owner(self, zone: str, now: float) -> str | None:
+        """Node of a responding peer that owns the zone by reports newer than this controller's records, else None."""
+        reported = self._context.reachability.partitions_by_peers.get(zone)
         if (
             self.permissions.superseded(zone)
-            and by_peers is not None
-            and self._context.reachability.peer_responds(by_peers.node, now)
+            and reported is not None
+            and self._context.reachability.peer_responds(reported.node, now)
         ):
-            return by_peers.node
+            return reported.node
         return None
 
     async def _redirect(self, heartbeat: wire.Heartbeat, now: float) -> Response:
-        """Answers a worker whose zone has another owner."""
+        """Answers a worker whose zone isn't owned by this process."""
         zone = heartbeat.zone
         if zone in self._deployment.zones:
             self._unregistered_machines.setdefault(zone, {})[heartbeat.machine] = now
         if zone in self._context.view.unreachable_zones():
-            # Its owner believes that no controller hears it. Redirected there, the worker would lose what is left of
-            # its lease; the next controller may know of another owner.
+            # The zone's owner receives no heartbeats from it. A redirect to that owner would use up the rest of the
+            # worker's lease. Without a target, the worker tries the next controller, which may have a newer owner on
+            # record.
             await self.unregistered_machine_found.set()
             return Response(421)
         partition = self._replica.state.partitions.get(zone)
@@ -141,15 +142,15 @@
         return Response(421, wire.encode(wire.Redirect(partition.node)))
 
     def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
-        """By zone, how many workers sent heartbeats here of late though another controller owns their zone."""
+        """Counts, by zone, the workers that recently sent heartbeats here though another controller owns their zone."""
         for zone, machines in self._unregistered_machines.items():
             self._unregistered_machines[zone] = {
-                name: at for name, at in machines.items() if now - at < UNREGISTERED_KEPT_S
+                name: at for name, at in machines.items() if now - at < UNREGISTERED_VALID_S
             }
         return [(zone, len(machines)) for zone, machines in self._unregistered_machines.items() if machines]
 
     def _owned_partition(self, zone: str, now: float) -> OwnedPartition:
-        """The partition in memory, which begins anew with every epoch."""
+        """Returns the in-memory state of an owned partition, which is created anew in every epoch."""
         record = self._replica.state.partitions[zone]
         owned = self.owned.get(zone)
         if owned is None or owned.partition.epoch != record.epoch:
@@ -176,9 +177,9 @@
     # Rounds and commands
 
     async def run(self) -> None:
-        """Follows which partitions are owned, and wakes each when something changed for it.
+        """Updates the set of owned partitions, and wakes those whose records changed, until cancelled.
 
-        Every partition works in tasks of its own, so that none waits for another's transactions.
+        Every partition has its own tasks in the event loop, so that none waits for another's transactions.
         """
         while True:
             await self._wakeup.wait()
@@ -186,7 +187,7 @@
             if self._replica.loaded:
                 await self._update_owned(time.monotonic())
                 await self.scale_in.watch_orphans(time.monotonic())
-            await curio.sleep(PAUSE_S)
+            await curio.sleep(UPDATE_PAUSE_S)
 
     async def _update_owned(self, now: float) -> None:
         for zone in list(self.owned):
@@ -205,11 +206,12 @@
                     await owned.wakeup.set()
 
     async def _run_commands(self, owned: OwnedPartition) -> None:
-        """Sends stops and starts while transactions of the rounds wait for their turn.
+        """Sends commands to workers, even while the rounds' transactions wait for the rate limit.
 
-        A cancelled job's tasks have to leave in time, however short changes are (docs/incidents/2026-12-02-commands-
-        behind-records.md). Silence is judged here too: in a round it was found late, and a controller cut from its
-        workers released them before it noticed.
+        The tasks of a cancelled job have to leave their machines in time, however few writes the rate limit leaves
+        (docs/incidents/2026-12-02-commands-behind-records.md). Silent machines are detected here as well: rounds
+        detected them so late that a controller partitioned from its workers released the machines before it noticed the
+        partition.
         """
         partition = owned.partition
         while self.owned.get(partition.zone) is owned and self.permissions.owns(partition):
@@ -223,5 +225,5 @@
                         await self.scale_in.watch_silence(owned, time.monotonic())
             except curio.CancelledError:
                 raise
-            except Exception:  # must not end the controller
+            except Exception:  # an unexpected error must not end the controller
                 log.exception("partition commands failed partition=%s", partition.zone)
--- a/spurarch/coordination/partition/record_feed.py
+++ b/spurarch/coordination/partition/record_feed.py
@@ -1,6 +1,6 @@
-"""Hands changed records to the partitions that this controller owns.
+"""Passes changed records to the partitions that this controller owns.
 
-Loaded once the records are read: answers to workers after a restart don't need it.
+Imported once the records have been read: answering workers after a restart doesn't need it.
 """
 
 from __future__ import annotations
@@ -12,21 +12,20 @@
 
 
 class RecordFeed:
-    """Keeps owned partitions up to date with the replica."""
+    """Keeps owned partitions up to date with the replica.
 
-    def __init__(self, context: OwnerContext, owned: dict[str, OwnedPartition], changed_keys: dict[str, None]) -> None:
-        """Feeds partitions.
+    Args:
+        context: Dependencies of the partition owner.
+        owned: The owned partitions by zone, maintained by the owner.
+        changed_keys: Subscription to the keys of changed records, which is emptied here.
+    """
 
-        Args:
-            context: What the owner works with.
-            owned: The owned partitions by zone, kept by the owner.
-            changed_keys: Collects keys of changed records; emptied here.
-        """
+    def __init__(self, context: OwnerContext, owned: dict[str, OwnedPartition], changed_keys: dict[str, None]) -> None:
         self._replica, self._view, self._reachability = context.replica, context.view, context.reachability
         self._owned, self._changed_keys = owned, changed_keys
 
     def distribute(self) -> None:
-        """Marks changed records for every partition that they belong to."""
+        """Queues the keys of changed records for every owned partition that they concern."""
         self._view.update()
         if self._changed_keys:
             for zone, owned in self._owned.items():
@@ -35,14 +34,14 @@
             self._changed_keys.clear()
 
     def update(self, owned: OwnedPartition) -> None:
-        """Applies all changes that are known to a partition whose records have been read."""
+        """Applies all pending changes to a partition whose records have been read."""
         self.distribute()
         if owned.changed_keys:
             owned.partition.apply_records(self._replica.state, owned.changed_keys, time.monotonic())
             owned.changed_keys.clear()
 
     async def prepare(self, owned: OwnedPartition) -> None:
-        """Brings a partition up to date before a round; its records are read by a copy newer than its claim."""
+        """Brings a partition up to date before a round; the first time, from records read after its claim."""
         if owned.partition.state.records_read:
             self.update(owned)
         elif not await self._read(owned):
@@ -53,7 +52,7 @@
         partition, state = owned.partition, self._replica.state
         if not await self._replica.sync():
             if self._replica.loaded and not owned.provisional:
-                # What was read before the claim serves to stop cancelled tasks, and for nothing else.
+                # Records read before the claim may be outdated; they are used only to stop cancelled tasks.
                 partition.apply_records(state, list(state.entries), time.monotonic())
                 owned.provisional = True
             return False
@@ -64,6 +63,6 @@
         return True
 
     def stop_jobs_cancelled_by_peers(self, owned: OwnedPartition) -> None:
-        """Stops what peers say is cancelled while the state service is out of reach."""
+        """Stops tasks of jobs that peers report as cancelled while the state service can't be reached."""
         for job_id in self._reachability.cancelled_by_peers:
             owned.partition.stop_job(job_id, time.monotonic())
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -1,6 +1,6 @@
-"""Brings the tables of a partition up to date with changed records.
+"""Applies changed records to the tables of a partition.
 
-Loaded with the first records of a partition: answers to workers after a restart don't need it.
+Imported when a partition's records are first applied: answering workers after a restart doesn't need it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         self._coverage = context.coverage
 
     def apply(self, cluster: ClusterState, keys: Iterable[str], now: float) -> None:
-        """Applies the records under changed keys; keys of other partitions are passed over."""
+        """Applies the records under changed keys; ignores keys of other partitions."""
         state = self._state
         state.now = now
         for key in keys:
@@ -51,7 +51,7 @@
         self._stops.stop_gang_members()
 
     def _on_job_finished(self, job_id: str) -> None:
-        """The job ended or was cancelled: its tasks leave, and its allocations can be deleted."""
+        """Stops the tasks of a job that ended or was cancelled, and marks its allocations for deletion."""
         state = self._state
         self._failures.backoffs.pop(job_id, None)
         state.gangs.drop(job_id)
@@ -70,7 +70,7 @@
         if machine is None:
             machine = state.add_machine(name, record.type, record.spot, record.addr)
             if name in state.released_machines:
-                machine.transition(MachineState.RELEASED)  # a transaction that put it on record was carried out late
+                machine.transition(MachineState.RELEASED)  # a late transaction recorded it after its release
         machine.schedulable = record.schedulable
 
     # Allocations
@@ -87,7 +87,7 @@
             self._remove_allocation(cluster, allocation)
             return
         live = is_live(cluster, allocation.job)
-        self._match_attempts(cluster, allocation, record, live)
+        self._reconcile_attempts(cluster, allocation, record, live)
         if not live:
             state.orphaned_allocations.add(allocation)
         free = [entry for entry in record.tasks if entry.state == records.FREE]
@@ -104,10 +104,10 @@
                 self._remove_attempt(attempt)
         state.remove_allocation(allocation)
 
-    def _match_attempts(
+    def _reconcile_attempts(
         self, cluster: ClusterState, allocation: AllocationKey, record: AllocationRecord, live: bool
     ) -> None:
-        """Drops attempts that the record no longer assigns, and adds those that it newly does."""
+        """Removes attempts that the record no longer assigns, and adds those that it newly assigns."""
         attempts = self._state.attempts_of(allocation)
         assigned = {entry.index: entry for entry in record.tasks if entry.state == records.ASSIGNED}
         for index, attempt in list(attempts.items()):
@@ -127,7 +127,7 @@
             machine = state.add_machine(entry.machine, "", False, "", schedulable=False)
         attempt = TaskAttempt(allocation, entry.index, entry.attempt, entry.machine, entry.incarnation, state.now)
         state.add_attempt(attempt, machine)
-        # The incarnation it is recorded for may have ended, and with it all that ran there.
+        # The worker incarnation that it was assigned to may have ended, and with it all of its tasks.
         incarnation_ended = attempt.incarnation < machine.incarnation or (
             machine.state is MachineState.LEASE_EXPIRED and attempt.incarnation <= machine.expired_incarnation
         )
@@ -137,7 +137,10 @@
             self._stops.stop_cancelled(attempt)
 
     def _remove_attempt(self, attempt: TaskAttempt) -> None:
-        """Drops an attempt; the worker may forget its end, once that is archived if it completed."""
+        """Removes an attempt.
+
+        If it exited, its worker may stop reporting it; if the task completed, only once the archive holds its end.
+        """
         self._state.remove_attempt(attempt)
         machine = self._state.machines.get(attempt.machine)
         if machine is not None and attempt.phase is AttemptPhase.EXITED:
@@ -146,9 +149,12 @@
                 machine.unarchived[attempt.key] = self._coverage.recorded()
 
     def _follow_split(self, cluster: ClusterState, attempt: TaskAttempt) -> bool:
-        """Follows an attempt whose entry moved to another record of the same job, as when a record is split.
+        """Moves an attempt whose entry is now in another record of the same job, as after a split of its record.
+
+        The phase is kept: without it, a task whose end isn't on record yet would be started again.
 
-        Its phase is kept: forgetting an end that is not recorded yet would start the task once more.
+        Returns:
+            Whether the attempt was moved.
         """
         for allocation, record in cluster.allocations.get(attempt.allocation.job, {}).items():
             if allocation.zone != self._state.zone or allocation == attempt.allocation:
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -1,6 +1,6 @@
-"""Writes what rounds of a partition decided on: machines, ends, starts, and allocations that can be deleted.
+"""Writes the decisions of a partition's rounds: machines, ended and started tasks, and deletions of allocations.
 
-Loaded with the first round of a partition.
+Imported with the first round of a partition.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 
 log = logging.getLogger(__name__)
 
-MOST_BATCHES = 2  # of one urgency in one round, so that what comes meanwhile is planned in its place
-DELETE_INTERVAL_S = 10.0  # after which allocations of jobs that are over are deleted even if writes are scarce
+MAX_BATCHES = 2  # per urgency and round; the next round decides on the rest together with newer changes
+DELETE_INTERVAL_S = 10.0  # after which allocations of finished jobs are deleted even if writes are scarce
 
 AllocationChanges = dict[AllocationKey, dict[int, TaskEntry]]
 
 
 @dataclass(slots=True)
 class _Change:
-    """A change that a round decided on: new entries of an allocation, its deletion, or a write of another record.
+    """A change decided by a round: new entries of an allocation, its deletion, or a write of another record.
 
     Attributes:
         write: The write of another record, or the deletion of the allocation.
         allocation: The allocation that is changed or deleted.
         entries: New entries by task index; None for a deletion.
-        starting: Some of the entries assign a task to a machine.
+        starting: Whether some of the entries assign a task to a machine.
     """
 
     write: Write | None
@@ -50,9 +50,9 @@
 
 
 def machine_writes(partition: Partition, cluster: ClusterState, now: float) -> list[Write]:
-    """Writes for machines that are new, cordoned or schedulable again, or released.
+    """Returns the writes for machines that are new, cordoned, schedulable again, or released.
 
-    Released machines without a record are dropped from the partition.
+    Removes released machines without a record from the partition.
     """
     out = []
     on_record = cluster.machines[partition.zone]
@@ -70,7 +70,7 @@
         if machine.state is MachineState.UNCONFIRMED or not machine.type:
             continue
         if partition.unreachable and machine.state is MachineState.LEASE_EXPIRED:
-            continue  # one change marks the whole zone as unreachable
+            continue  # the member record marks the whole zone as unreachable in one write
         wanted = MachineRecord(machine.type, machine.spot, machine.addr, machine.can_accept_tasks(now))
         if record != wanted:
             out.append(Write(key, wanted))
@@ -78,28 +78,37 @@
 
 
 class RecordWriter:
-    """Commits changes in batches, the most urgent first, guarded by what they depend on."""
+    """Commits changes in batches, the most urgent first, guarded by the records that they depend on."""
 
     def __init__(self, context: OwnerContext, permissions: Permissions, commands: CommandSender) -> None:
         self._replica, self._view = context.replica, context.view
         self._permissions, self._commands = permissions, commands
-        self._most_changes = context.deployment.state.transaction_changes
-        self._record_tasks = records.tasks_per_record(context.deployment.state.value_bytes)
+        self._max_changes = context.deployment.state.transaction_changes
+        self._max_tasks_per_record = records.tasks_per_record(context.deployment.state.value_bytes)
 
     async def commit(self, owned: OwnedPartition, changes: AllocationChanges, other: list[Write]) -> None:
-        """Writes what changed, in transactions within the limits that guard the partition and the jobs.
+        """Writes changes in transactions that guard the records of the partition and of the jobs concerned.
 
-        Machines and replicas go first. The rest may wait long for its turn, so it goes on beside the rounds: a replica
-        that has to start meanwhile would wait with it (tests/test_bursts.py). Ends of arrays go with their starts.
-        Deletions wait until nothing else does, or for `DELETE_INTERVAL_S`, since quotas wait for them.
+        Machines and replicas of services are written first. The rest may wait long for the rate limit, so a background
+        task writes it: otherwise a replica that has to start meanwhile would wait as well (tests/test_bursts.py). Ends
+        of array tasks are written along with starts. Deletions wait until no other writes do, but at most
+        `DELETE_INTERVAL_S`, since an allocation uses its team's quota until it is deleted.
+
+        Args:
+            owned: The partition.
+            changes: New entries of allocations.
+            other: Writes of other records.
         """
         groups = self._by_urgency(owned, changes, other)
         await self._commit_group(owned, groups[Urgency.REPLICAS], Urgency.REPLICAS)
         if not owned.placer.pending_changes:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
-            if self._replica.store.rates.can_write_now(Urgency.ENDS) or now - owned.deleted_at > DELETE_INTERVAL_S:
-                owned.deleted_at = now
-                bulk = groups[Urgency.ENDS][: self._most_changes] + bulk
+            if (
+                self._replica.store.rates.can_write_now(Urgency.ENDS)
+                or now - owned.last_deletion_at > DELETE_INTERVAL_S
+            ):
+                owned.last_deletion_at = now
+                bulk = groups[Urgency.ENDS][: self._max_changes] + bulk
             owned.placer.pending_changes = {c.allocation: c.entries or {} for c in bulk if c.allocation is not None}
             if owned.placer.pending_changes:
                 await curio.spawn(self._commit_bulk, owned, bulk, daemon=True)
@@ -109,14 +118,14 @@
             await self._commit_group(owned, bulk, Urgency.STARTS)
         except curio.CancelledError:
             raise
-        except Exception:  # must not end the controller
+        except Exception:  # an unexpected error must not end the controller
             log.exception("partition transactions failed partition=%s", owned.partition.zone)
         finally:
             owned.placer.pending_changes = {}
 
     async def _commit_group(self, owned: OwnedPartition, group: list[_Change], urgency: Urgency) -> None:
-        """Makes some of the changes; the rest is planned again, with what came meanwhile in its place."""
-        for batch in self._batches(owned.partition.zone, group)[:MOST_BATCHES]:
+        """Commits up to `MAX_BATCHES` batches; the next round decides again on the rest, with newer changes."""
+        for batch in self._batches(owned.partition.zone, group)[:MAX_BATCHES]:
             await self._commit_batch(owned, batch, urgency)
             await self._commands.send(owned)
 
@@ -132,22 +141,22 @@
                 continue
             job = self._view.jobs.get(allocation.job)
             starting = any(entry.state == records.ASSIGNED for entry in entries.values())
-            # All starts of a gang are one change as a rule, and its machines wait for the last of them.
+            # The starts of a gang are usually one change, and its machines are idle until the last start is committed.
             urgency = Urgency.REPLICAS if job is not None and (job.service or job.gang) else Urgency.STARTS
             out[urgency].append(_Change(None, allocation, entries, starting))
         return out
 
     def _batches(self, zone: str, changes: list[_Change]) -> list[list[_Change]]:
-        """Splits changes by the limits on a transaction's bytes and number of changes."""
+        """Splits changes into batches within the limits on a transaction's bytes and number of changes."""
         out: list[list[_Change]] = []
         batch_bytes = batch_changes = 0
         allocations = self._replica.state.zone_allocations[zone]
         for change in changes:
-            updates = change.allocation is not None and change.write is None
-            record = allocations.get(change.allocation) if change.allocation is not None and updates else None
+            is_update = change.allocation is not None and change.write is None
+            record = allocations.get(change.allocation) if change.allocation is not None and is_update else None
             change_bytes = records.change_bytes(record)
-            pieces = records.pieces_of(record, self._record_tasks) if record is not None else 1
-            if not out or batch_changes + pieces > self._most_changes or batch_bytes + change_bytes > records.TXN_BYTES:
+            pieces = records.pieces_of(record, self._max_tasks_per_record) if record is not None else 1
+            if not out or batch_changes + pieces > self._max_changes or batch_bytes + change_bytes > records.TXN_BYTES:
                 out.append([])
                 batch_bytes = batch_changes = 0
             out[-1].append(change)
@@ -156,10 +165,10 @@
         return out
 
     def _writes_of(self, owned: OwnedPartition, change: _Change) -> list[Write]:
-        """The change as it applies now, or nothing.
+        """Returns the writes that make the change to the current records, or none if it no longer applies.
 
-        Another controller's transaction may have come since it was planned: writing back an allocation as it was then
-        would bring back tasks that the leader has moved since.
+        Another controller may have changed the allocation since the change was decided. Writing the allocation as it
+        was then would restore tasks that the leader has moved since.
         """
         if change.allocation is None:
             return [change.write] if change.write is not None else []
@@ -173,7 +182,7 @@
         new = merge_changes(record, change.entries, is_live_gang(cluster, change.allocation.job))
         if new is None:
             return []
-        pieces = records.split(change.allocation, new, self._record_tasks)
+        pieces = records.split(change.allocation, new, self._max_tasks_per_record)
         return [Write(str(allocation), piece) for allocation, piece in pieces]
 
     async def _commit_batch(self, owned: OwnedPartition, batch: list[_Change], urgency: Urgency) -> None:
@@ -190,7 +199,7 @@
             return
         result = await self._replica.commit(writes, guards, urgency=urgency)
         if result.status is TransactionStatus.INVALID and len(batch) > 1:
-            # One change that the state service refuses must not keep the others from ever being made.
+            # An invalid change must not keep the others in its batch from being committed.
             for change in batch:
                 await self._commit_batch(owned, [change], urgency)
         elif result.status not in (TransactionStatus.COMMITTED, TransactionStatus.NOT_EXECUTED):
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -1,6 +1,6 @@
-"""Decision rounds of owned partitions: ends to record, tasks to place, tasks to move.
+"""Decision rounds of owned partitions: record ended tasks, place waiting tasks, migrate running tasks.
 
-Loaded once the records are read: answers to workers after a restart don't need it.
+Imported once the records have been read: answering workers after a restart doesn't need it.
 """
 
 from __future__ import annotations
@@ -25,20 +25,20 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_S = 0.03  # between two rounds
+ROUND_PAUSE_S = 0.03  # minimum pause between two rounds
 FAILURE_PAUSE_S = 0.1
-PARTITION_TICK_S = 0.2  # a little below the interval at which all who wait for changes are woken
-MOST_PLACED = 200  # allocations in one round
-END_DELAY_S = 3.0  # ends are collected for up to that long while few writes are left
-END_DELAY_BELOW = 0.8  # share of the write rate that is left, below which ends are collected
-END_DELAY_SCARCE_S = 6.0  # when only starts are still written
-SCARCE_LEVEL = 0.5  # share of the write rate that is left, below which placement saves writes
-MOVE_S = 15.0  # a replica that is moved keeps its target's capacity for that long
-SEARCH_PUT_OFF_S = 30.0  # at most, while the event loop is late
+PARTITION_TICK_S = 0.2  # slightly shorter than the interval at which `ProcessTimer` wakes all listeners
+MAX_ALLOCATIONS_PER_ROUND = 200
+END_DELAY_S = 3.0  # upper bound of the delay that grows as the write level falls below `END_DELAY_LEVEL`
+END_DELAY_LEVEL = 0.8  # share of a second's writes that is left, below which ended tasks are collected
+END_DELAY_SCARCE_S = 6.0  # delay while the write level admits nothing less urgent than starts
+SCARCE_LEVEL = 0.5  # share of a second's writes that is left, below which placement avoids writes
+MIGRATION_RESERVATION_S = 15.0  # for which the target's capacity is reserved for a migrating replica
+MAX_SEARCH_DELAY_S = 30.0  # for which a local search is postponed while the event loop lags
 
 
 class PartitionRounds:
-    """Runs the rounds of every owned partition, each in a task of its own."""
+    """Runs the rounds of the owned partitions; each partition has its own task in the event loop."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         self._random = Random(context.tuning.seed)
 
     async def run(self, owned: OwnedPartition, owned_partitions: dict[str, OwnedPartition]) -> None:
-        """Rounds of one partition as long as it is owned: when something changed, and every now and then."""
+        """Runs rounds of one partition while it is owned: after changes, and at every tick of the partition."""
         zone = owned.partition.zone
         while owned_partitions.get(zone) is owned and self._permissions.owns(owned.partition):
             await owned.wakeup.wait()
@@ -65,10 +65,10 @@
                     await self._run_round(owned)
             except curio.CancelledError:
                 raise
-            except Exception:  # a failure in one round must not end the controller
+            except Exception:  # an unexpected error must not end the controller
                 log.exception("partition round failed partition=%s", zone)
                 await curio.sleep(FAILURE_PAUSE_S)
-            await curio.sleep(self._context.lag.pause_s(PAUSE_S))
+            await curio.sleep(self._context.lag.pause_s(ROUND_PAUSE_S))
 
     async def _run_round(self, owned: OwnedPartition) -> None:
         partition, cluster, now = owned.partition, self._context.replica.state, time.monotonic()
@@ -82,15 +82,17 @@
         if partition.unassigned:
             await self._place(owned, changes, now)
         await self._writer.commit(owned, changes, writes)
-        self._search(owned, now)
+        self._search_if_due(owned, now)
         await self._commands.send(owned)
         await self._scale_in.release_idle(owned, now)
 
     async def _place(self, owned: OwnedPartition, changes: AllocationChanges, now: float) -> None:
-        """Adds the assignments of a placement round to the changes, and stops what it preempts."""
+        """Runs a placement round: adds its assignments to `changes`, and stops the tasks that it preempts."""
         partition, budget = owned.partition, self._budget()
         owned.placer.writes_scarce = self._context.replica.store.rates.write_level() < SCARCE_LEVEL
-        placed = owned.placer.run_round(partition, self._context.view, now, budget.spent, MOST_PLACED, time.time())
+        placed = owned.placer.run_round(
+            partition, self._context.view, now, budget.spent, MAX_ALLOCATIONS_PER_ROUND, time.time()
+        )
         if self._permissions.records_are_fresh(now):
             for attempt in placed.preempt:
                 log.info("preempting task job=%s task=%d machine=%s", *attempt.key, attempt.machine)
@@ -104,22 +106,22 @@
         return RoundBudget(self._context.tuning.budget_ms / 1000, self._context.deployment.limits.cpu)
 
     def _end_delay_s(self) -> float:
-        """How long ends are collected: not at all while writes are plentiful, longer the scarcer they are."""
+        """Seconds for which ended tasks are collected: 0 while writes are plentiful, more the scarcer they are."""
         level = self._context.replica.store.rates.write_level()
         if level <= Urgency.STARTS.value:
             return END_DELAY_SCARCE_S
-        return END_DELAY_S * min(1.0, max(0.0, END_DELAY_BELOW - level) / END_DELAY_BELOW)
+        return END_DELAY_S * min(1.0, max(0.0, END_DELAY_LEVEL - level) / END_DELAY_LEVEL)
 
     def _grace_s(self, attempt: TaskAttempt) -> float:
         job = self._context.replica.state.jobs.get(attempt.allocation.job)
         return checkpoint_grace_s(job.spec) if job is not None else 0.0
 
-    def _search(self, owned: OwnedPartition, now: float) -> None:
-        """Starts a local search when its time has come; draining machines take tasks again when some wait."""
+    def _search_if_due(self, owned: OwnedPartition, now: float) -> None:
+        """Runs a local search if one is due; ends the draining of machines while tasks wait for capacity."""
         if owned.partition.unassigned:
             for machine in owned.partition.machines.values():
                 machine.draining = False
-        if now < owned.next_search or (self._context.lag.late and now < owned.next_search + SEARCH_PUT_OFF_S):
+        if now < owned.next_search or (self._context.lag.late and now < owned.next_search + MAX_SEARCH_DELAY_S):
             return
         first = owned.next_search == 0.0
         owned.next_search = now + self._context.tuning.round_s
@@ -127,8 +129,8 @@
             self._refine(owned, now)
 
     def _refine(self, owned: OwnedPartition, now: float) -> None:
-        """Tabu search and consolidation; their moves begin with a stop."""
-        from spurarch.coordination.scheduling.local_search import refine  # not needed to answer workers after a restart
+        """Runs tabu search and consolidation; a migration begins by stopping the task."""
+        from spurarch.coordination.scheduling.local_search import refine  # answering workers doesn't need it
 
         partition, context = owned.partition, self._context
         result = refine(partition, context.view, context.tuning, now, self._random, self._budget().spent)
@@ -139,7 +141,7 @@
             log.info(
                 "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
             )
-            owned.placer.move(attempt.key, target, now + MOVE_S)
+            owned.placer.move(attempt.key, target, now + MIGRATION_RESERVATION_S)
             partition.request_stop(attempt, self._grace_s(attempt))
         if result.search is not None and result.search.moves:
             log.info(
