--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -1,4 +1,4 @@
-"""One controller: creates the parts of all layers, connects them, and runs their tasks."""
+"""One controller: creates the components of all layers, connects them, and runs their tasks."""
 
 from __future__ import annotations
 
@@ -37,19 +37,20 @@
 
 log = logging.getLogger(__name__)
 
-TASK_RESTART_S = 0.5
+TASK_RESTART_DELAY_S = 0.5
 CLAIM_RETRY_S = 0.2
-LEADER_DELAY_S = 0.2  # after the claim
-FRESHNESS_DELAY_S = 0.5  # after the start
+LEADER_DELAY_S = 0.2  # after the first claim of partitions
+FRESHNESS_DELAY_S = 0.5  # after the start of the controller
 STORE_CONNECTIONS, CLOUD_CONNECTIONS, PEER_CONNECTIONS = 24, 6, 32
-FEWEST_PUBLIC_CONNECTIONS = 16
-SOCKETS_RESERVED = 100  # the state service, the cloud, peers, and some to spare
+MIN_PUBLIC_CONNECTIONS = 16
+SOCKETS_RESERVED = 100  # for the state service, the cloud and peers, with a margin
 
 
 class Controller:
-    """Runs until it is killed, or has to start again after a recovery.
+    """A controller, which runs until it is killed or has to be restarted in another history of the records.
 
-    `process_incarnation` names this process; no other process ever has the same name.
+    `process_incarnation` identifies this process and is unique among all processes of all controllers; None generates
+    it at random. `extension` adds recovery.
     """
 
     def __init__(
@@ -126,10 +127,14 @@
         return PartitionOwner(context)
 
     async def run(self) -> None:
-        """Serves until cancelled."""
+        """Runs all tasks until cancelled, or until recovery requires a restart.
+
+        Raises:
+            OSError: An address to listen on can't be bound.
+        """
         platform = self.platform
         sockets = platform.deployment.limits.sockets
-        connections = max(FEWEST_PUBLIC_CONNECTIONS, sockets - direct_connections(sockets) - SOCKETS_RESERVED)
+        connections = max(MIN_PUBLIC_CONNECTIONS, sockets - direct_connections(sockets) - SOCKETS_RESERVED)
         tasks = [
             self.network.server(platform.listen, self.handle, connections).run,
             self.network.back_server(platform.back, self.on_frame, PEER_CONNECTIONS).run,
@@ -145,8 +150,10 @@
         log.info("controller starting node=%s incarnation=%s", platform.node, self.process_incarnation)
         async with curio.TaskGroup(wait=any) as group:
             for task in tasks:
-                await group.spawn(self._guarded, task)
-            recovery = await group.spawn(self._guarded, self._recovery.run) if self._recovery is not None else None
+                await group.spawn(self._restart_on_error, task)
+            recovery = (
+                await group.spawn(self._restart_on_error, self._recovery.run) if self._recovery is not None else None
+            )
             async for ended in group:
                 if ended is recovery and not ended.exception:
                     await group.cancel_remaining()
@@ -156,20 +163,20 @@
                     raise ended.exception
 
     async def handle(self, request: Request) -> Response:
-        """Answers a request of a user, a worker or the platform."""
+        """Answers an HTTP request of a user, a worker or the platform."""
         return await self._router.handle(request)
 
     async def on_frame(self, frame: bytes) -> bytes:
-        """Answers a peer."""
-        if self._recovery is not None and (answer := self._recovery.on_frame(frame)) is not None:
-            return answer
+        """Answers a message of a peer controller."""
+        if self._recovery is not None and (response := self._recovery.on_frame(frame)) is not None:
+            return response
         return await self._peer_messages.on_frame(frame)
 
     @staticmethod
-    async def _guarded(task: Callable[[], Awaitable[None]]) -> None:
-        """Restarts a task after an unexpected error while the others go on. An OSError ends the process.
+    async def _restart_on_error(task: Callable[[], Awaitable[None]]) -> None:
+        """Runs a task, and restarts it after an unexpected error; the other tasks continue.
 
-        That is raised where an address to listen on is taken already.
+        An OSError isn't handled and ends the process: it is raised when an address to listen on is already in use.
         """
         while True:
             try:
@@ -179,29 +186,30 @@
                 raise
             except Exception:
                 log.exception("controller task failed, restarting it name=%s", getattr(task, "__qualname__", task))
-                await curio.sleep(TASK_RESTART_S)
+                await curio.sleep(TASK_RESTART_DELAY_S)
 
     async def _run_all(self, *tasks: Callable[[], Awaitable[None]]) -> None:
-        """Runs tasks that are not meant to end, until one of them does."""
+        """Runs tasks that don't normally end, until one of them does."""
         async with curio.TaskGroup(wait=any) as group:
             for task in tasks:
-                await group.spawn(self._guarded, task)
+                await group.spawn(self._restart_on_error, task)
 
     async def _start(self) -> None:
-        """Claims partitions first, so that workers are answered before all the other records have been read."""
+        """Claims partitions before the other records are read, so that workers are answered as early as possible."""
         if self._recovery is not None and not await self._recovery.open_history():
-            await curio.Event().wait()  # until another history is open, in which this controller starts again
+            # Waits until cancelled: recovery has the controller restarted once another history is open.
+            await curio.Event().wait()
         while True:
             try:
                 await self.replica.load_ownership()
                 await self.membership.claim()
                 break
             except StoreUnavailableError as err:
-                log.info("start waits for the state service error=%s", err)
+                log.info("state service unavailable, retrying partition claims error=%s", err)
                 await curio.sleep(CLAIM_RETRY_S)
         await self._run_all(self.replica.run_watch, self.membership.run, self._run_leader)
 
-    # What the first answers to workers don't need is loaded a little later.
+    # The first responses to workers don't need the following modules, which are therefore imported later.
 
     async def _run_leader(self) -> None:
         await curio.sleep(LEADER_DELAY_S)
--- a/spurarch/coordination/extension.py
+++ b/spurarch/coordination/extension.py
@@ -1,4 +1,4 @@
-"""The interface between a controller and recovery, which lies in a layer above. For type checking only."""
+"""The interface between a controller and recovery, which is in a layer above it. For type checking only."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 
 class Recovery(Protocol):
-    """Detects that the state service lost its data, and has it rebuilt."""
+    """Detects that the state service lost its data, and has the records rebuilt."""
 
     @property
     def closed(self) -> bool:
-        """The records can't be trusted, and heartbeats are answered by `on_heartbeat`."""
+        """Whether the records can't be trusted, so that `on_heartbeat` answers heartbeats."""
 
     async def open_history(self) -> bool:
-        """Finds the current history of records; False if there is a sign of loss."""
+        """Finds the current history of the records; returns False if there is a sign of data loss."""
 
     async def run(self) -> None:
-        """Ends when the controller has to start again in another history."""
+        """Runs recovery; returns when the controller has to be restarted in another history."""
 
     def observe(self, heartbeat: wire.Heartbeat) -> None:
-        """Checks a worker's heartbeat for signs of loss."""
+        """Checks a worker's heartbeat for signs of data loss."""
 
     async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
-        """Answers a heartbeat while the records can't be trusted: status and body."""
+        """Answers a heartbeat while the records can't be trusted."""
 
     def on_frame(self, frame: bytes) -> bytes | None:
-        """Answers a peer's recovery message; None for any other message."""
+        """Returns the response to a peer's recovery message, or None for any other message."""
 
 
 class Extension(Protocol):
-    """What a controller with recovery is given: parts for the layers below it, and the service above it."""
+    """Adds recovery to a controller: components for the layers below the controller, and the service above it."""
 
     @property
     def guard(self) -> HistoryGuard:
-        """Watches for signs of loss."""
+        """Checks responses of the state service for signs of data loss."""
 
     @property
     def coverage(self) -> ArchiveCoverage:
-        """What the archive holds."""
+        """Up to which revision the records are in the archive."""
 
     def attach(self, controller: Controller) -> Recovery:
-        """Creates the recovery service of a controller."""
+        """Creates the recovery service of the controller."""
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -1,6 +1,6 @@
-"""The channel between controllers: what this one tells its peers, and how it answers theirs.
+"""Messages between controllers: notifications to the peers, and responses to their messages.
 
-Every message may be lost without harm: what it says is on record, or is said again.
+The loss of a message does no harm: its content is on record as well, or is sent again.
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 from spurarch.storage.replica import Replica
 from spurarch.transport.network import Calls, broadcast
 
-NOTIFICATION_INTERVAL_S = 0.02  # changes within this time are announced together
-PONG_SYNC_S = 0.8  # how long a read of the state service may delay the answer to a ping
+NOTIFICATION_INTERVAL_S = 0.02  # changes within this interval share one notification
+PONG_SYNC_TIMEOUT_S = 0.8  # of the read of the state service that precedes a pong
 
 
 class PeerNotifier:
-    """Tells the peers of changes on record and of cancellations."""
+    """Notifies the peers of changes to the records and of cancellations."""
 
     def __init__(self, clients: Mapping[str, Calls]) -> None:
         self._clients = clients
         self._state_changed = curio.Event()
 
     async def notify_state_changed(self) -> None:
-        """Has the peers told soon that something was written that they will want to read."""
+        """Schedules a notification that records were changed, so that the peers read the changes."""
         await self._state_changed.set()
 
     async def notify_cancelled(self, job_id: str) -> None:
-        """Tells the peers of a cancellation before its user is told.
+        """Sends a cancellation to the peers, before it is confirmed to the user.
 
-        Peers may be cut off from the state service at this moment, and the service may be down in the next.
+        The peers may be unable to read it from the state service: they may be partitioned from the service, or an
+        outage of the service may follow.
         """
         await broadcast(self._clients.values(), peer_messages.encode(peer_messages.JobsCancelled([job_id])))
 
     async def run(self) -> None:
-        """Announces changes until cancelled."""
+        """Sends the scheduled notifications until cancelled."""
         while True:
             await self._state_changed.wait()
             self._state_changed.clear()
@@ -49,7 +50,7 @@
 
 
 class PeerMessageHandler:
-    """Answers the messages of peers, except those of a recovery."""
+    """Answers messages of peers, except recovery messages."""
 
     def __init__(
         self,
@@ -64,24 +65,28 @@
         self._started_at = time.monotonic()
 
     async def on_frame(self, frame: bytes) -> bytes:
-        """Applies a peer's message and returns the frame that answers it; unreadable ones are acknowledged too."""
-        answer: PeerMessage = peer_messages.StateChanged()  # the common acknowledgement
+        """Applies a peer's message and returns the response frame; an unreadable message is only acknowledged."""
+        response: PeerMessage = peer_messages.StateChanged()  # the common acknowledgement
         match peer_messages.decode(frame):
             case peer_messages.Load() as load:
                 self._rate_sharing.on_peer_load(load, time.monotonic())
             case peer_messages.StateChanged():
                 await curio.spawn(self._replica.sync, daemon=True)
             case peer_messages.Ping():
-                answer = await self._pong()
+                response = await self._pong()
             case peer_messages.JobsCancelled(jobs):
                 self._reachability.record_cancelled(jobs, time.monotonic())
                 await self._replica.notify()
-        return peer_messages.encode(answer)
+        return peer_messages.encode(response)
 
     async def _pong(self) -> Pong:
-        """All that this controller knows, whether or not it reaches the state service: a peer may go on by it."""
+        """Returns a pong with all cancellations and partition owners that this controller has received.
+
+        The pong is sent even if this controller can't reach the state service, since a peer may use it as an
+        attestation of freshness.
+        """
         replica = self._replica
-        reached = replica.loaded and await replica.sync(PONG_SYNC_S)
+        reached = replica.loaded and await replica.sync(PONG_SYNC_TIMEOUT_S)
         state, now = replica.state, time.monotonic()
         cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled}
         cancelled |= set(self._reachability.cancelled_by_peers)
@@ -89,7 +94,7 @@
         has_synced = replica.synced_at > float("-inf")
         copy_age_s, uptime_s = now - replica.synced_at if has_synced else -1.0, now - self._started_at
         if not replica.store.trusted:
-            # Peers must not go on by the attestation of one that waits for the records to be rebuilt: how long an owner
-            # that is cut off may answer its workers bounds how long the rebuilding has to wait for them.
+            # A controller that waits for the records to be rebuilt must not attest to freshness: the rebuild has to
+            # wait for as long as an owner partitioned from the state service may answer its workers.
             copy_age_s, uptime_s = -1.0, 0.0
         return Pong(self._node, self._process_incarnation, reached, sorted(cancelled), partitions, copy_age_s, uptime_s)
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -1,7 +1,7 @@
 """Shares of the published rates of the state service and the cloud, agreed among the controllers without a coordinator.
 
-Each controller computes the same shares from the records: by who owns which partition and who leads. Unused writes are
-lent to peers with more to do, by the loads that all tell each other.
+All controllers compute the same shares from the records of partition owners and of the leader. A controller lends
+unused writes to peers that need more, according to the loads that the controllers send each other.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from spurarch.storage.replica import Replica
 from spurarch.transport.network import Calls, broadcast
 
-SHARING_INTERVAL_S, SHORTEST_INTERVAL_S = 1.0, 0.2
+SHARING_INTERVAL_S, MIN_SHARING_INTERVAL_S = 1.0, 0.2
 LOAD_VALID_S = 3 * SHARING_INTERVAL_S
-LEADER_CLOUD_SHARE = 0.6  # the leader scales out and lists machines; the others only release machines
+LEADER_CLOUD_SHARE = 0.6  # the leader scales out and lists machines; the other controllers only release machines
 
 
 class RateShares(Struct, frozen=True):
@@ -34,29 +34,29 @@
 
 
 def rate_shares(nodes: list[str], owners: list[str], leader: str | None) -> dict[str, RateShares]:
-    """The controllers' shares, by what each has to do; `owners` has an entry for each partition.
+    """Returns the shares of all controllers by node; `owners` lists the owner's node of every partition.
 
-    Everybody serves users; owners record starts and ends, and the leader admits. The shares of all add up to one as
-    long as they agree on who does what.
+    Shares depend on duties: all controllers serve users, partition owners also record started and ended tasks, and the
+    leader also admits jobs. The shares add up to one as long as the controllers agree on the duties.
     """
     weights: dict[str, RateShares] = {}
     for node in nodes:
-        partitions, leads = owners.count(node), node == leader
-        weights[node] = RateShares(2.0 + partitions + leads, 2.0 + 4.0 * partitions + 6.0 * leads)
+        partitions, is_leader = owners.count(node), node == leader
+        weights[node] = RateShares(2.0 + partitions + is_leader, 2.0 + 4.0 * partitions + 6.0 * is_leader)
     requests = sum(weight.requests for weight in weights.values())
     writes = sum(weight.writes for weight in weights.values())
     return {node: RateShares(weight.requests / requests, weight.writes / writes) for node, weight in weights.items()}
 
 
 class _ReceivedLoad(Struct, frozen=True):
-    """A peer's latest load, and when it came, by the monotonic clock."""
+    """A peer's latest load message, and the monotonic time of its receipt."""
 
     load: Load
     received_at: float
 
 
 class RateSharing:
-    """Keeps this controller's shares up to date, and tells the peers its load."""
+    """Keeps this controller's shares up to date, and sends its load to the peers."""
 
     def __init__(
         self,
@@ -72,29 +72,29 @@
         self._peer_loads: dict[str, _ReceivedLoad] = {}
 
     def on_peer_load(self, load: Load, now: float) -> None:
-        """A peer told its load."""
+        """Applies a peer's load message."""
         self._detect_peer_throttling(load)
         self._peer_loads[load.node] = _ReceivedLoad(load, now)
         self._owner.scale_in.on_peer_load(load.node, dict(load.unregistered_machines), load.released_machines)
 
     def _detect_peer_throttling(self, load: Load) -> None:
-        """The state service has lowered its rate if a peer's writes are refused; only where that was announced."""
+        """Infers that the state service lowered its rate, if it announced a lower one and refuses a peer's writes."""
         before = self._peer_loads.get(load.node)
         announced = self._limits.next is not None
         if announced and before is not None and load.throttled_writes > before.load.throttled_writes:
             self._store.rates.record_peer_throttled()
 
     async def run(self) -> None:
-        """Applies new shares every second, and at once when a worker can't find its partition's owner."""
+        """Updates the shares every second, or sooner if a worker can't find its owner, until cancelled."""
         found = self._owner.unregistered_machine_found
         while True:
-            await self._share()
-            await curio.sleep(SHORTEST_INTERVAL_S)
-            await curio.ignore_after(SHARING_INTERVAL_S - SHORTEST_INTERVAL_S, found.wait)
+            await self._update_shares()
+            await curio.sleep(MIN_SHARING_INTERVAL_S)
+            await curio.ignore_after(SHARING_INTERVAL_S - MIN_SHARING_INTERVAL_S, found.wait)
             found.clear()
 
-    async def _share(self) -> None:
-        """Takes the shares that this controller's duties ask for and what others lend, and tells the peers its load."""
+    async def _update_shares(self) -> None:
+        """Sets this controller's shares by its duties and the writes lent by peers, and sends its load to the peers."""
         leader = self._replica.state.leader
         leader_node = leader.node if leader is not None else None
         nodes = [self._node, *self._clients]
@@ -112,8 +112,10 @@
         }
         loads[self._node] = own_load
         self._store.rates.set_shares(shares[self._node].requests, self._write_share(shares, loads))
-        others = max(1, len(nodes) - 1)
-        self._cloud.set_share(LEADER_CLOUD_SHARE if self._node == leader_node else (1 - LEADER_CLOUD_SHARE) / others)
+        other_count = max(1, len(nodes) - 1)
+        self._cloud.set_share(
+            LEADER_CLOUD_SHARE if self._node == leader_node else (1 - LEADER_CLOUD_SHARE) / other_count
+        )
         await broadcast(self._clients.values(), peer_messages.encode(own_load))
 
     def _own_load(self, now: float) -> Load:
--- a/spurarch/coordination/runtime/__init__.py
+++ b/spurarch/coordination/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The process itself: stalls, event-loop lag, budgets of decision rounds, invariant checks."""
+"""Monitoring of the process: stalls, event loop lag, time budgets of decision rounds, and invariant violations."""
--- a/spurarch/coordination/runtime/event_loop_lag.py
+++ b/spurarch/coordination/runtime/event_loop_lag.py
@@ -1,14 +1,14 @@
-"""How late the event loop runs its timers, and what is put off while it is late.
+"""How late the event loop runs its timers, and what is postponed meanwhile.
 
-On a busy share of a processor everything is late. What others wait for is done as it comes: lease renewals, answers to
-workers and users, cancellations, starts. Decision rounds collect more changes before they begin, and what only improves
-a placement is put off for a bounded time.
+If a controller has only a small share of a processor, all of its timers may fire late. Work that others wait for is
+never postponed: lease renewals, responses to workers and users, cancellations and starts. Decision rounds wait longer
+to handle more changes at once, and work that only improves a placement is postponed for a bounded time.
 """
 
 from __future__ import annotations
 
-DECAY = 0.7  # of the lateness that is remembered, from one measurement to the next
-LATE_S = 0.2
+DECAY = 0.7  # factor of the recent lag from one measurement to the next
+LATE_THRESHOLD_S = 0.2
 LONGEST_PAUSE_S = 0.25
 
 
@@ -19,14 +19,14 @@
         self.recent_s = 0.0
 
     def record(self, late_s: float) -> None:
-        """A timer fired `late_s` seconds after its time."""
+        """Records that a timer fired `late_s` seconds late."""
         self.recent_s = max(late_s, self.recent_s * DECAY)
 
     @property
     def late(self) -> bool:
-        """There is too little processor time for what can wait."""
-        return self.recent_s > LATE_S
+        """Whether processor time is too short for work that can wait."""
+        return self.recent_s > LATE_THRESHOLD_S
 
-    def pause_s(self, least_s: float) -> float:
-        """How long changes are collected before the next decision round, in seconds."""
-        return max(least_s, min(LONGEST_PAUSE_S, self.recent_s))
+    def pause_s(self, min_s: float) -> float:
+        """Seconds for which changes are collected before the next decision round; at least `min_s`."""
+        return max(min_s, min(LONGEST_PAUSE_S, self.recent_s))
--- a/spurarch/coordination/runtime/invariants.py
+++ b/spurarch/coordination/runtime/invariants.py
@@ -1,4 +1,4 @@
-"""Counts violations of invariants. The controller goes on; tests and operators look at the count and the log."""
+"""Counts and logs violations of invariants. The controller keeps running; tests and operators check both."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 log = logging.getLogger(__name__)
 
-LOGGED_MOST = 200  # lines; a fault that repeats must not fill the log
+MAX_LOGGED = 200  # violations; a recurring fault must not fill the log
 
 
 class InvariantViolations:
-    """The violations found by this process."""
+    """Invariant violations found by this process; `messages` holds the first `MAX_LOGGED`."""
 
     def __init__(self) -> None:
         self.messages: list[str] = []
         self.count = 0
 
     def record(self, text: str) -> None:
-        """Counts a violation and logs it, up to a number of lines."""
+        """Counts a violation, and logs it if it is one of the first `MAX_LOGGED`."""
         self.count += 1
-        if self.count <= LOGGED_MOST:
+        if self.count <= MAX_LOGGED:
             self.messages.append(text)
             log.error("invariant violated count=%d detail=%s", self.count, text)
--- a/spurarch/coordination/runtime/round_budget.py
+++ b/spurarch/coordination/runtime/round_budget.py
@@ -1,18 +1,18 @@
-"""How long one decision round may take, and how long to pause after it, on a share of a processor."""
+"""Duration of a decision round, and of the pause after it, for a controller with a share of a processor."""
 
 from __future__ import annotations
 
 import time
 
-LONGEST_S = 0.05  # whatever waits in the event loop, heartbeats among it, waits no longer
+LONGEST_S = 0.05  # of wall-clock time, since all other work of the event loop waits, including heartbeats
 
 
 class RoundBudget:
-    """Tells a round when to stop; the next round continues from there.
+    """Limits the processor time of a round; the next round continues where this one stopped.
 
-    The budget is processor time: on a share of a core it lasts accordingly longer on the clock, up to `LONGEST_S`. It
-    starts with the first call of `spent`. What every round has to do before its first decision is not counted, or else
-    a slow controller would spend all of its rounds on that and never decide anything.
+    On a share of a core, the same processor time takes proportionally longer, up to `LONGEST_S`. The budget starts with
+    the first call of `spent`: the work that every round does before its first decision isn't counted, since a slow
+    controller would otherwise spend each round on that work and never make a decision.
     """
 
     def __init__(self, processor_s: float, share: float) -> None:
@@ -20,13 +20,16 @@
         self._deadline: float | None = None
 
     def spent(self) -> bool:
-        """The round has to stop."""
+        """Whether the round has to stop."""
         now = time.monotonic()
         if self._deadline is None:
             self._deadline = now + self._span_s
         return now > self._deadline
 
 
-def rest_s(took_s: float, share: float, factor: float, least_s: float) -> float:
-    """Seconds to pause after a round that took `took_s` on the clock: `factor` times its processor time."""
-    return max(least_s, factor * took_s * min(1.0, share))
+def rest_s(took_s: float, share: float, factor: float, min_s: float) -> float:
+    """Seconds to pause after a round that took `took_s` on the clock.
+
+    That is `factor` times the round's processor time, but at least `min_s`.
+    """
+    return max(min_s, factor * took_s * min(1.0, share))
--- a/spurarch/coordination/runtime/stall_detector.py
+++ b/spurarch/coordination/runtime/stall_detector.py
@@ -1,8 +1,9 @@
-"""Whether this process has been running all along.
+"""Detects stalls: intervals in which this process didn't run although the clocks did.
 
-A process that was suspended while the clocks ran on resumes with outdated conclusions: it missed the heartbeats that
-others did send, its partitions may have another owner, and timers that expired meanwhile all fire at once. So after a
-stall nothing is concluded, commanded or released before an attestation of freshness that was requested after it.
+A process that resumes after a stall has an outdated view: it hasn't received the heartbeats sent meanwhile, its
+partitions may have another owner, and all timers that expired meanwhile fire at once. So after a stall it draws no
+conclusions from silence, sends no commands and releases no machines until it has an attestation of freshness that was
+requested after the stall.
 """
 
 from __future__ import annotations
@@ -21,39 +22,43 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25
-STALL_S = 2.0  # less than a member's lease lasts after its latest renewal, so that nobody took over in a shorter one
+STALL_S = 2.0  # less than a member lease lasts after its renewal, so no takeover can happen in a shorter gap
 
 
 class StallDetector:
-    """Detects gaps between its own calls; whoever calls first after a stall finds it."""
+    """Detects gaps between calls of `check`; the first call after a stall detects it.
+
+    Attributes:
+        resumed_at: Monotonic time at which the latest stall was detected.
+    """
 
     def __init__(self) -> None:
         self._last_check: float | None = None
-        self.resumed_at = float("-inf")  # when the latest stall was found, by the monotonic clock
+        self.resumed_at = float("-inf")
 
     def check(self, now: float) -> float:
-        """Records that this process runs; returns when it last resumed after a stall."""
+        """Records that this process runs at `now`; returns when it last resumed after a stall."""
         if self._last_check is not None and now - self._last_check > STALL_S:
             self.resumed_at = now
         self._last_check = now
         return self.resumed_at
 
     def confirmed_since_stall(self, now: float, confirmed_at: float) -> bool:
-        """What was confirmed at `confirmed_at` is no older than the latest stall."""
+        """Whether a confirmation made at `confirmed_at` is no older than the end of the latest stall."""
         return confirmed_at >= self.check(now)
 
 
 class ProcessTimer:
-    """The one timer of a controller: checks for stalls, measures the event loop's lag, and wakes all who wait.
+    """A controller's shared timer: checks for stalls, measures the event loop's lag, and wakes the replica's listeners.
 
-    One timer serves all: a timeout on each wait for changes would cost more than most of what is done on waking.
+    The timer is shared because a timeout on each wait for changes would cost more than most of the work done on waking.
     """
 
     def __init__(self, stall_detector: StallDetector, lag: EventLoopLag, replica: Replica) -> None:
         self._stall_detector, self._lag, self._replica = stall_detector, lag, replica
 
     async def run(self) -> None:
-        """Runs until cancelled."""
+        """Runs the timer until cancelled."""
         while True:
             resumed_at = self._stall_detector.resumed_at
             if self._stall_detector.check(time.monotonic()) != resumed_at:
