--- a/spurarch/coordination/admission/__init__.py
+++ b/spurarch/coordination/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The leader's part: quotas, admission of tasks to partitions, final states of jobs."""
+"""Admission, run by the leader: assigns tasks to partitions within the quotas, and records final states of jobs."""
--- a/spurarch/coordination/admission/job_admission.py
+++ b/spurarch/coordination/admission/job_admission.py
@@ -1,4 +1,4 @@
-"""The records that the admission of one job writes: its count, new allocations, and old ones that lose tasks."""
+"""Record changes that admit tasks of one job: admission record, new allocations, and those that tasks move out of."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, TaskEntry
 from spurarch.storage.transaction import Write
 
-RESERVED_CHANGES = 2  # of a transaction: the job's count, and one to spare
+RESERVED_CHANGES = 2  # per transaction: one for the admission record, and one spare
 
 
 @dataclass(slots=True)
 class JobAdmission:
-    """The records that the admission of one job writes."""
+    """Record changes that admit tasks of one job."""
 
     job: str
-    tasks: int  # that its team is charged with from then on
+    tasks: int  # charged to the job's team by this admission
     writes: list[Write]
 
     @property
-    def length(self) -> int:
-        """About how many bytes they take."""
+    def max_bytes(self) -> int:
+        """Upper bound of the bytes that the changes take in a request."""
         return sum(records.change_bytes(write.record) for write in self.writes)
 
 
 class JobAdmissionBuilder:
-    """Collects the allocations of one job, as many as one transaction takes."""
+    """Collects allocations of one job, as many as fit in one transaction."""
 
     def __init__(
         self, state: ClusterState, zones: StringInterner, job_id: str, tasks_per_record: int, max_changes: int
@@ -37,74 +37,84 @@
         self._state, self._zones, self._job_id = state, zones, job_id
         self._tasks_per_record = tasks_per_record
         self._max_changes = max_changes - RESERVED_CHANGES
-        self._recorded = self._recorded_count()
-        self._next_chunk = self._recorded.chunks if self._recorded is not None else 0
+        self._admission_record = self._current_admission_record()
+        self._next_chunk = self._admission_record.chunks if self._admission_record is not None else 0
         self._allocations: list[tuple[AllocationKey, list[TaskEntry]]] = []
-        self._moved: dict[AllocationKey, set[int]] = {}  # by allocation that loses tasks, their indices
+        self._moved_from: dict[AllocationKey, set[int]] = {}  # indices of tasks, by the allocation they leave
         self._new_tasks: set[int] = set()
 
-    def _recorded_count(self) -> AdmissionRecord | None:
-        """The job's count on record, or what it would be for a job that was admitted as a whole."""
-        recorded = self._state.admissions.get(self._job_id)
+    def _current_admission_record(self) -> AdmissionRecord | None:
+        """Returns the job's admission record, or its equivalent for a job that was admitted as a whole without one.
+
+        Returns None if no task of the job was admitted yet.
+        """
+        admission_record = self._state.admissions.get(self._job_id)
         allocations = self._state.allocations.get(self._job_id, {})
-        if recorded is None and allocations:
+        if admission_record is None and allocations:
             tasks = self._state.jobs[self._job_id].spec.tasks
             return AdmissionRecord(tasks, max(allocation.chunk for allocation in allocations) + 1)
-        return recorded
+        return admission_record
 
     def add(self, grant: AdmissionGrant) -> None:
-        """Adds the tasks of a grant, except those that this transaction has no room for."""
-        moved_here = {index for indices in grant.moved.values() for index in indices}
+        """Adds the tasks of a grant, except those that would exceed the transaction's limit of changes."""
+        moved_indices = {index for indices in grant.moved_from.values() for index in indices}
         for start in range(0, len(grant.entries), self._tasks_per_record):
             entries = grant.entries[start : start + self._tasks_per_record]
             indices = {entry.index for entry in entries}
-            sources = {source for source, moved in grant.moved.items() if not moved.isdisjoint(indices)}
-            rewritten = sum(map(self._changes_to_rewrite, sources | set(self._moved)))
-            if len(self._allocations) + 1 + rewritten > self._max_changes:
+            sources = {source for source, moved in grant.moved_from.items() if not moved.isdisjoint(indices)}
+            source_changes = sum(map(self._changes_to_rewrite, sources | set(self._moved_from)))
+            if len(self._allocations) + 1 + source_changes > self._max_changes:
                 break
             key = AllocationKey(self._zones.name(grant.zone), self._job_id, self._next_chunk)
             self._next_chunk += 1
             self._allocations.append((key, entries))
-            self._new_tasks |= indices - moved_here
+            self._new_tasks |= indices - moved_indices
             for source in sources:
-                self._moved.setdefault(source, set()).update(indices & grant.moved[source])
+                self._moved_from.setdefault(source, set()).update(indices & grant.moved_from[source])
 
     def build(self) -> JobAdmission:
-        """The records to write.
+        """Returns the record changes of the admission.
+
+        The admission record only counts the admitted tasks, so new tasks are admitted in order of their index. Those
+        that follow a gap, because others did not fit in the transaction, are left out.
 
-        New tasks are admitted in order of their index: what did not fit into the transaction must not leave a gap.
-        A job that is admitted as a whole needs no count: its allocations stay until it has ended, and a late repeat
-        of the transaction that made them finds them there.
+        A job that is admitted as a whole needs no admission record: its allocations exist until it has ended, so a
+        delayed duplicate of the transaction that created them fails.
         """
-        admitted = self._recorded.next if self._recorded is not None else 0
-        after_gap = set(self._new_tasks)
-        while admitted in after_gap:
-            after_gap.discard(admitted)
+        admitted = self._admission_record.next if self._admission_record is not None else 0
+        tasks_after_gap = set(self._new_tasks)
+        while admitted in tasks_after_gap:
+            tasks_after_gap.discard(admitted)
             admitted += 1
-        kept = [
-            (key, [entry for entry in entries if entry.index not in after_gap]) for key, entries in self._allocations
+        kept_allocations = [
+            (key, [entry for entry in entries if entry.index not in tasks_after_gap])
+            for key, entries in self._allocations
         ]
-        tasks = sum(len(entries) for _, entries in kept)
-        writes = [Write(str(key), AllocationRecord(entries)) for key, entries in kept if entries]
-        if self._recorded is None and not self._moved and admitted == self._state.jobs[self._job_id].spec.tasks:
+        tasks = sum(len(entries) for _, entries in kept_allocations)
+        writes = [Write(str(key), AllocationRecord(entries)) for key, entries in kept_allocations if entries]
+        if (
+            self._admission_record is None
+            and not self._moved_from
+            and admitted == self._state.jobs[self._job_id].spec.tasks
+        ):
             return JobAdmission(self._job_id, tasks, writes)
-        count = Write(records.ADMISSION + self._job_id, AdmissionRecord(admitted, self._next_chunk))
-        return JobAdmission(self._job_id, tasks, [count, *writes, *self._source_writes()])
+        admission_write = Write(records.ADMISSION + self._job_id, AdmissionRecord(admitted, self._next_chunk))
+        return JobAdmission(self._job_id, tasks, [admission_write, *writes, *self._source_writes()])
 
     def _changes_to_rewrite(self, source: AllocationKey) -> int:
-        """How many changes it takes at most to write an allocation again."""
+        """Returns the largest number of changes needed to rewrite an allocation that tasks are moved out of."""
         return records.pieces_of(self._state.allocations[source.job][source], self._tasks_per_record)
 
     def _source_writes(self) -> list[Write]:
-        """The allocations that lose tasks, with the tasks that stay, or deleted."""
+        """Returns the changes to allocations that tasks are moved out of; those without remaining tasks are deleted."""
         writes: list[Write] = []
-        for source, indices in self._moved.items():
+        for source, indices in self._moved_from.items():
             record = self._state.allocations[source.job][source]
-            left = [entry for entry in record.tasks if entry.index not in indices]
-            if left:
+            remaining = [entry for entry in record.tasks if entry.index not in indices]
+            if remaining:
                 writes += [
                     Write(str(key), piece)
-                    for key, piece in records.split(source, AllocationRecord(left), self._tasks_per_record)
+                    for key, piece in records.split(source, AllocationRecord(remaining), self._tasks_per_record)
                 ]
             else:
                 writes.append(Write(str(source), None))
--- a/spurarch/coordination/admission/negative_cache.py
+++ b/spurarch/coordination/admission/negative_cache.py
@@ -1,4 +1,4 @@
-"""Searches for a machine that found nothing in this round, so that hundreds of equal tasks do not repeat them."""
+"""Cache of failed searches for a machine, so that hundreds of equal tasks do not repeat them within a round."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class NegativeCache:
-    """Requirements for which no machine was found: in one zone, or in all zones (None)."""
+    """Requirements for which no machine was found, by zone; the zone None means all zones."""
 
     __slots__ = ("_failed_by_zone",)
 
@@ -14,11 +14,11 @@
         self._failed_by_zone: dict[int | None, list[Requirements]] = {}
 
     def add(self, requirements: Requirements, zone: int | None) -> None:
-        """Records a search that found nothing."""
+        """Records a search in one zone, or in all zones, that found no machine."""
         self._failed_by_zone.setdefault(zone, []).append(requirements)
 
     def covers(self, requirements: Requirements, zone: int | None) -> bool:
-        """Whether a search for a task with no greater requirements found nothing there, or in all zones."""
+        """Returns whether a search with no greater requirements has already failed in the zone or in all zones."""
         for scope in (None,) if zone is None else (None, zone):
             for failed in self._failed_by_zone.get(scope, ()):
                 if requirements.requires_at_least(failed):
--- a/spurarch/coordination/admission/plan.py
+++ b/spurarch/coordination/admission/plan.py
@@ -1,4 +1,4 @@
-"""What one round of admission decides: grants of tasks to partitions, and shortages of capacity."""
+"""Result of one round of admission planning: tasks granted to partitions, and capacity shortages."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class AdmissionGrant:
-    """Tasks of one job for one partition.
+    """Tasks of one job that are admitted to one partition.
 
-    `entries` holds new tasks and tasks that a partition returned; `moved` names the allocations that the returned ones
-    leave, with the indices of those tasks.
+    `entries` holds new tasks and tasks that a partition returned. `moved_from` holds, by allocation, the indices of the
+    returned tasks that are moved out of it.
     """
 
     job: str
     zone: int
     entries: list[TaskEntry] = field(default_factory=list)
-    moved: dict[AllocationKey, set[int]] = field(default_factory=dict)
+    moved_from: dict[AllocationKey, set[int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class CapacityShortage:
-    """Tasks that the quota allows and that no machine, free or booting, has room for."""
+    """Tasks that the quota allows and that don't fit on ready machines; those that fit on booting ones are included."""
 
     requirements: Requirements
     count: int
@@ -32,30 +32,30 @@
     service: bool
     job: str
     estimate_s: float
-    gang: bool = False  # all of the tasks start together in one zone, or none does
+    gang: bool = False  # all tasks start together in one zone, or none starts
 
 
 @dataclass(slots=True)
 class AdmissionPlan:
-    """Outcome of one round."""
+    """The plan of one round."""
 
     grants: list[AdmissionGrant] = field(default_factory=list)
     shortages: list[CapacityShortage] = field(default_factory=list)
-    next_job: str | None = None  # the job at which the next round continues, if the time budget was spent
+    next_job: str | None = None  # where the next round continues; None if this round planned all jobs
 
 
 @dataclass(slots=True)
 class ZoneAssignment:
-    """Where tasks of one job go."""
+    """How many tasks of one job are assigned to each zone."""
 
     tasks_by_zone: dict[int, int] = field(default_factory=dict)
-    on_booting_machines: int = 0  # how many of them wait for a machine that boots
+    on_booting_machines: int = 0  # how many of the tasks are booked on booting machines
 
     @property
     def tasks(self) -> int:
-        """All tasks that go to some zone."""
+        """Number of tasks that are assigned to any zone."""
         return sum(self.tasks_by_zone.values())
 
     def add(self, zone: int, count: int) -> None:
-        """Assigns tasks to a zone."""
+        """Assigns `count` more tasks to a zone."""
         self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + count
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -1,8 +1,8 @@
-"""One round of admission: which tasks of which job go to which partition. Decides only; the writer commits the plan.
+"""Plans a round of admission: which tasks of which job go to which partition. `AdmissionWriter` commits the plan.
 
-Admission enforces the quota: a task is charged to its team from its admission until its end is recorded, and the limits
-of a job's tasks per zone, gangs and allowed zones are enforced here too. No partition owner needs a view of the whole
-fleet to keep these rules.
+Admission enforces the quotas: a task is charged to its team from its admission until its end is recorded. It also
+enforces each job's allowed zones and limit of tasks per zone, and assigns a gang to one zone. Partition owners need no
+view of the whole fleet for these rules.
 """
 
 from __future__ import annotations
@@ -26,12 +26,13 @@
 
 
 class AdmissionPlanner:
-    """One round of admission over the tables of the fleet.
+    """Plans one round of admission from the fleet view. `now` is in Unix seconds.
 
-    This is the coarse tier of the paper (IV-A): it spreads jobs over the partitions, and each partition places its
-    tasks on its own. Where nothing is free, a partition is given tasks ahead of time: as many as it frees room for
-    within `admit_ahead_s` and as fit on machines that boot. Its owner starts them the moment room appears, many with
-    one change of records, instead of one admission for every task that ends at the time when changes are scarcest.
+    This is the coarse tier of the paper (section IV-A): the leader distributes jobs over the partitions, and each
+    partition owner places its tasks on machines. A zone without free capacity is assigned tasks ahead of time: as many
+    as it is expected to free capacity for within `admit_ahead_s`, and as many as fit on booting machines. Its partition
+    owner starts them as soon as capacity is free, many with one record change. Otherwise, each task that ends would
+    need an admission of another one, just when record changes are scarcest.
     """
 
     def __init__(
@@ -49,13 +50,13 @@
         self._arrays = ArrayPlanner(self._state, preemption)
         self._replicas = ReplicaPlanner(self._state, preemption)
         self._gangs = GangPlanner(self._state)
-        self._planned: dict[int, Charge] = {}  # by team, beyond what is on record and reserved
+        self._planned: dict[int, Charge] = {}  # by team, charges of this plan that are not reserved yet
 
     def run(self, first_job: str | None, budget_spent: Callable[[], bool], max_grants: int) -> AdmissionPlan:
         """Plans the jobs that have tasks to admit, from `first_job` on, until the time budget is spent.
 
-        No more than about `max_grants` are granted, as many as can be recorded soon. The jobs after those are planned
-        all the same, so that machines are requested for all that wait and not only for what can be admitted now.
+        The plan has about `max_grants` grants at most, as many as can be committed soon. The remaining jobs are planned
+        without grants, so that machines are requested for all waiting tasks, not only for those admitted now.
         """
         plan = AdmissionPlan()
         try:
@@ -70,34 +71,38 @@
         return plan
 
     def _book_unassigned(self, plan: AdmissionPlan) -> None:
-        """Books room for admitted tasks that wait for a machine, so that it is not given away a second time.
+        """Books capacity for admitted tasks that wait for a machine, so that it is not assigned a second time.
 
-        Those without room are a shortage, unless they were tried so often that more likely the task fails than the
-        machines.
+        Tasks that don't fit are recorded as a shortage, except those started so often that the fault is more likely in
+        the task than in the machines.
         """
         state = self._state
         for allocation, job, unassigned, often_tried in self._view.unassigned_tasks():
             zone = self._view.zones.index(allocation.zone)
-            known_not_to_fit = state.no_free_room.covers(job.requirements, zone)
-            without_room = unassigned
+            known_not_to_fit = state.no_free_capacity.covers(job.requirements, zone)
+            unplaced = unassigned
             if not known_not_to_fit:
-                without_room -= state.fill_free(job.requirements, zone, unassigned)
-            if not without_room:
+                unplaced -= state.fill_free(job.requirements, zone, unassigned)
+            if not unplaced:
                 continue
             if job.gang:
                 state.zones_with_waiting_gang.add(zone)
             if not known_not_to_fit:
-                state.no_free_room.add(job.requirements, zone)
-            _record_shortage(plan, job, without_room - often_tried)
-            if state.booting[zone] and not state.no_booting_room.covers(job.requirements, zone):
-                without_room -= state.fill_booting(job.requirements, zone, without_room)
-                if without_room:
-                    state.no_booting_room.add(job.requirements, zone)
-            state.queued_cpus[zone] += without_room * job.requirements.cpus
+                state.no_free_capacity.add(job.requirements, zone)
+            _record_shortage(plan, job, unplaced - often_tried)
+            if state.booting[zone] and not state.no_booting_capacity.covers(job.requirements, zone):
+                unplaced -= state.fill_booting(job.requirements, zone, unplaced)
+                if unplaced:
+                    state.no_booting_capacity.add(job.requirements, zone)
+            state.queued_cpus[zone] += unplaced * job.requirements.cpus
         state.drop_full_machines()
 
     def _job_order(self, first_job: str | None) -> list[str]:
-        """Jobs to plan, by rank; from `first_job` on if it is among them, but the most urgent jobs always first."""
+        """Returns the jobs to plan, ordered by rank.
+
+        If `first_job` is among them, the order is rotated to start there, except that jobs of the highest priority stay
+        in front.
+        """
         order = sorted(self._jobs_to_admit(), key=self._rank)
         if first_job not in order:
             return order
@@ -118,22 +123,22 @@
 
     def _rank(self, job_id: str) -> tuple[int, bool, float, float]:
         job = self._view.jobs[job_id]
-        # One call for each waiting job, also for those whose quota allows nothing: no detour by the state.
+        # Runs for every waiting job in every round, so it calls the job directly and not `PlanningState.is_starving`.
         return self._view.ranking.rank(job, job.is_starving(self._state.now, self._state.longest_wait_s))
 
     def _admit(self, job: JobView, plan: AdmissionPlan, max_grants: int) -> None:
-        """Plans one job: assigns its tasks to zones, records what is short, and grants what can be recorded."""
+        """Plans one job: assigns its tasks to zones, records its shortage, and adds its grants to the plan."""
         allowed = min(self._tasks_allowed(job), job.to_admit)
         if allowed <= 0:
             return
         if job.gang and allowed < job.to_admit:
-            return  # only the team's quota stands in the way: more machines would not help
+            return  # blocked by the team's quota alone; more machines would not help
         assignment = self._assign(job, allowed)
         placed = assignment.tasks
         _record_shortage(plan, job, assignment.on_booting_machines + allowed - placed)
         self._charge(job, placed)
         if len(plan.grants) + len(assignment.tasks_by_zone) > max_grants and plan.grants:
-            return  # booked, so that no other job counts on the room, and granted in a later round
+            return  # granted in a later round; the bookings keep other jobs from using the capacity in this one
         self._grant(job, assignment, plan)
 
     def _assign(self, job: JobView, allowed: int) -> ZoneAssignment:
@@ -149,13 +154,17 @@
         return self._arrays.assign(job, only_zone, allowed)
 
     def _zone_for_single_zone_job(self, job: JobView) -> int | None:
-        """The zone where tasks of the job are already, or else the one with the most room for it."""
+        """Returns the zone that already has tasks of the job, or else the one with the most free task slots for it.
+
+        Without free slots, returns the zone that frees the most CPUs beyond those of its queued tasks; None if no zone
+        has a suitable machine.
+        """
         used_zones = [zone for zone, count in job.tasks_by_zone.items() if count > 0]
         if used_zones:
             return used_zones[0]
         state = self._state
         slots_by_zone: dict[int, int] = defaultdict(int)
-        for zone, capacities in state.with_room.items():
+        for zone, capacities in state.with_free_cpus.items():
             for capacity in capacities:
                 if capacity.fits(job.requirements):
                     slots_by_zone[zone] += capacity.task_slots(job.requirements, job.tasks)
@@ -164,15 +173,15 @@
         return max(slots_by_zone, key=lambda zone: slots_by_zone[zone], default=None)
 
     def _tasks_allowed(self, job: JobView) -> int:
-        """How many more tasks the team's quota allows."""
+        """Returns how many more tasks of the job the team's quota allows."""
         ledger, planned = self._view.ledger, self._planned.get(job.team, NO_CHARGE)
         reserved = ledger.reserved_for(job.job_id)
         if reserved is not NO_CHARGE:
-            planned = planned - reserved  # this plan replaces the admission of the job that is under way
+            planned = planned - reserved  # this plan replaces the job's pending admission, which must not count twice
         return ledger.tasks_allowed(job.team, job.charge_per_task, job.tasks, planned)
 
     def _charge(self, job: JobView, tasks: int) -> None:
-        """Counts planned tasks towards the team's quota, beyond what is reserved for the job already."""
+        """Adds planned tasks to the team's charge, except for what is already reserved for the job."""
         charge = job.charge_per_task.times(tasks).excess_over(self._view.ledger.reserved_for(job.job_id))
         self._planned[job.team] = self._planned.get(job.team, NO_CHARGE) + charge
 
@@ -183,11 +192,11 @@
             for entry, source in islice(pending, count):
                 grant.entries.append(entry)
                 if source is not None:
-                    grant.moved.setdefault(source, set()).add(entry.index)
+                    grant.moved_from.setdefault(source, set()).add(entry.index)
             plan.grants.append(grant)
 
     def _pending_tasks(self, job: JobView) -> Iterable[tuple[TaskEntry, AllocationKey | None]]:
-        """Tasks to admit: those that partitions returned, each with its allocation, then new ones by index."""
+        """Yields the tasks to admit: those returned by partitions, each with its allocation, then new ones by index."""
         if job.returned:
             for allocation, record in self._view.state.allocations.get(job.job_id, {}).items():
                 for entry in record.tasks:
--- a/spurarch/coordination/admission/planning_state.py
+++ b/spurarch/coordination/admission/planning_state.py
@@ -1,4 +1,4 @@
-"""State of one planning round: tentative bookings, capacity by zone, queues, and searches that found nothing."""
+"""State of one planning round: tentative bookings, capacity by zone, queued tasks, and failed searches."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class PlanningState:
-    """What the planners of arrays, replicas and gangs share during one round.
+    """State that the planners of arrays, replicas and gangs share during one round.
 
-    Zones that no controller reaches are left out. Bookings change the capacities of the fleet view itself and have to
-    be undone at the end of the round.
+    Unreachable zones are left out. Bookings change the capacities in the fleet view and have to be undone at the end of
+    the round.
     """
 
     def __init__(
@@ -37,40 +37,40 @@
             for capacity in view.capacities.values()
             if capacity.schedulable and capacity.zone not in unreachable
         ]
-        self.with_room = _by_zone(capacity for capacity in self.capacities if capacity.free_cpus > EPSILON)
+        self.with_free_cpus = _by_zone(capacity for capacity in self.capacities if capacity.free_cpus > EPSILON)
         self.booting = _by_zone(capacity for capacity in booting if capacity.zone not in unreachable)
-        self.queued_cpus: dict[int, float] = defaultdict(float)  # by zone, of admitted tasks that wait for room
-        self.freed_cpus = _freed_cpus(view, admit_ahead_s, unreachable)  # by zone, within `admit_ahead_s`
+        self.queued_cpus: dict[int, float] = defaultdict(float)  # by zone, of admitted tasks that wait for a machine
+        self.freed_cpus = _freed_cpus_by_zone(view, admit_ahead_s, unreachable)  # within `admit_ahead_s`
         self.zones_with_waiting_gang: set[int] = set()
-        self.no_free_room = NegativeCache()
-        self.no_booting_room = NegativeCache()
+        self.no_free_capacity = NegativeCache()
+        self.no_booting_capacity = NegativeCache()
         self._zones_by_shape: dict[tuple[object, ...], set[int]] = {}
         self._cpus_with_image: dict[int, dict[int, float]] = {}
 
     def is_starving(self, job: JobView) -> bool:
-        """Whether nothing of the job has run for the longest wait that users accept."""
+        """Returns whether no task of the job has run within the longest wait that users accept."""
         return job.is_starving(self.now, self.longest_wait_s)
 
     def spare_freed_cpus(self, zone: int) -> float:
-        """CPUs that the zone frees soon beyond what is queued for them; negative if more is queued."""
+        """Returns the CPUs that a zone frees soon, less those of its queued tasks; may be negative."""
         return self.freed_cpus[zone] - self.queued_cpus[zone]
 
     def drop_full_machines(self) -> None:
-        """Leaves machines without free CPUs out of later searches."""
-        for capacities_by_zone in (self.with_room, self.booting):
+        """Excludes machines without free CPUs from the later searches of the round."""
+        for capacities_by_zone in (self.with_free_cpus, self.booting):
             for zone, capacities in capacities_by_zone.items():
                 capacities_by_zone[zone] = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
 
     def fill_free(self, requirements: Requirements, zone: int, count: int) -> int:
-        """Books up to `count` equal tasks on free capacity of a zone; returns how many were booked."""
-        return sum(booked for _, booked in fill(requirements, self.with_room[zone], count, self.bookings))
+        """Books up to `count` equal tasks on free capacity of a zone; returns how many it booked."""
+        return sum(booked for _, booked in fill(requirements, self.with_free_cpus[zone], count, self.bookings))
 
     def fill_booting(self, requirements: Requirements, zone: int, count: int) -> int:
-        """Books up to `count` equal tasks on booting machines of a zone; returns how many were booked."""
+        """Books up to `count` equal tasks on booting machines of a zone; returns how many it booked."""
         return sum(booked for _, booked in fill(requirements, self.booting[zone], count, self.bookings))
 
     def zones_for(self, requirements: Requirements) -> set[int]:
-        """Zones with a machine that could hold the task if it were empty."""
+        """Returns the zones with a machine that could hold the task if it were empty."""
         if requirements.shape not in self._zones_by_shape:
             self._zones_by_shape[requirements.shape] = {
                 capacity.zone for capacity in self.capacities if capacity.fits_when_empty(requirements)
@@ -78,7 +78,7 @@
         return self._zones_by_shape[requirements.shape]
 
     def cpus_with_image(self, image: int) -> dict[int, float]:
-        """By zone, CPUs of the machines that have the image: tasks start there without fetching it."""
+        """Returns, by zone, the CPUs of machines that have the image, on which tasks start without fetching it."""
         if image not in self._cpus_with_image:
             found: dict[int, float] = defaultdict(float)
             for capacity in self.capacities:
@@ -89,8 +89,13 @@
 
 
 def in_zone_or_all(capacities: dict[int, list[MachineCapacity]], zone: int | None) -> list[MachineCapacity]:
-    """The machines of one zone, or of all zones if none is given."""
-    return [capacity for at, there in capacities.items() if zone is None or at == zone for capacity in there]
+    """Returns the machines of one zone, or of all zones if `zone` is None."""
+    return [
+        capacity
+        for machine_zone, machines in capacities.items()
+        if zone is None or machine_zone == zone
+        for capacity in machines
+    ]
 
 
 def _by_zone(capacities: Iterable[MachineCapacity]) -> dict[int, list[MachineCapacity]]:
@@ -100,8 +105,11 @@
     return by_zone
 
 
-def _freed_cpus(view: FleetView, admit_ahead_s: float, unreachable: set[int]) -> dict[int, float]:
-    """By zone, CPUs that running arrays free within `admit_ahead_s`, by their estimates."""
+def _freed_cpus_by_zone(view: FleetView, admit_ahead_s: float, unreachable: set[int]) -> dict[int, float]:
+    """Returns, by zone, the CPUs that running tasks are expected to free within `admit_ahead_s`, except services.
+
+    The estimate is the run time that the user states for each job.
+    """
     freed: dict[int, float] = defaultdict(float)
     if admit_ahead_s <= 0:
         return freed
--- a/spurarch/coordination/admission/preemption.py
+++ b/spurarch/coordination/admission/preemption.py
@@ -1,4 +1,4 @@
-"""Which machine to give a task to whose owner has to stop work of lower priority for it."""
+"""Selects machines for tasks that fit only after the partition owner has preempted lower-priority work."""
 
 from __future__ import annotations
 
@@ -11,25 +11,30 @@
 
 
 class PreemptionPlanner:
-    """Searches for machines that have room once work of lower priority is stopped."""
+    """Searches for machines on which a task fits once lower-priority work is preempted."""
 
     def __init__(self, state: PlanningState) -> None:
         self._state = state
-        self._none_to_stop = NegativeCache()
+        self._no_preemptible_machine = NegativeCache()
 
     def machine_in_zones(self, job: JobView, zones: list[int]) -> MachineCapacity | None:
-        """The machine in any of these zones where the least work would have to stop, or None."""
-        searched = [zone for zone in zones if not self._none_to_stop.covers(job.requirements, zone)]
+        """Returns the machine in these zones on which the least work has to be preempted; None if there is none."""
+        searched = [zone for zone in zones if not self._no_preemptible_machine.covers(job.requirements, zone)]
         if not searched:
             return None
-        capacity = machine_by_preemption(job, [at for at in self._state.capacities if at.zone in searched])
+        capacity = machine_by_preemption(
+            job, [candidate for candidate in self._state.capacities if candidate.zone in searched]
+        )
         if capacity is None:
             for zone in searched:
-                self._none_to_stop.add(job.requirements, zone)
+                self._no_preemptible_machine.add(job.requirements, zone)
         return capacity
 
     def machine_with_image(self, job: JobView, zones: list[int]) -> MachineCapacity | None:
-        """The same among machines that have the image: work of lower priority can stop faster than a fetch takes."""
+        """Returns the machine with the job's image on which the least work has to be preempted; None if there is none.
+
+        Preempting work there can be faster than fetching the image on another machine.
+        """
         image = job.requirements.image
         return machine_by_preemption(
             job,
@@ -38,9 +43,12 @@
 
 
 def machine_by_preemption(job: JobView, candidates: Iterable[MachineCapacity]) -> MachineCapacity | None:
-    """The machine where the least work of lower priority would have to stop, or None."""
+    """Returns the candidate with the most free CPUs, where the least lower-priority work has to be preempted.
+
+    Returns None if the task does not fit on any candidate that way.
+    """
     requirements = job.requirements
     if requirements.priority >= PRIORITIES - 1:
         return None
-    able = [capacity for capacity in candidates if capacity.fits_by_preemption(requirements)]
-    return max(able, key=lambda capacity: (capacity.free_cpus, requirements.image in capacity.images), default=None)
+    eligible = [capacity for capacity in candidates if capacity.fits_by_preemption(requirements)]
+    return max(eligible, key=lambda capacity: (capacity.free_cpus, requirements.image in capacity.images), default=None)
--- a/spurarch/coordination/admission/replica_planner.py
+++ b/spurarch/coordination/admission/replica_planner.py
@@ -1,4 +1,4 @@
-"""Admission of replicas: tasks that are placed one by one and spread over zones."""
+"""Plans the admission of service replicas, and of other tasks that a job spreads over zones."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.scheduling.best_fit import best_fit
 
-SPREAD_ZONES = 2  # zones that a service's replicas are spread over, if there is room
+SPREAD_ZONES = 2  # zones over which a service's replicas are spread while they have free capacity
 
 
 class ReplicaPlanner:
-    """Spreads tasks over zones: each goes where the fewest are, if possible to a machine that has the image."""
+    """Assigns each task to a zone with the fewest tasks of the job, if possible to a machine with its image."""
 
     def __init__(self, state: PlanningState, preemption: PreemptionPlanner) -> None:
         self._state, self._preemption = state, preemption
 
     def assign(self, job: JobView, only_zone: int | None, count: int) -> ZoneAssignment:
-        """Assigns up to `count` tasks, to one zone only if `only_zone` is given."""
+        """Assigns up to `count` tasks, only to `only_zone` if it is given."""
         tasks_by_zone = dict(job.tasks_by_zone)
         assignment = ZoneAssignment()
         for _ in range(count):
@@ -36,21 +36,24 @@
     def _choose_machine(
         self, job: JobView, only_zone: int | None, tasks_by_zone: dict[int, int], assignment: ZoneAssignment
     ) -> MachineCapacity | None:
-        state, requirements, limit = self._state, job.requirements, job.max_tasks_per_zone
+        state, requirements, max_per_zone = self._state, job.requirements, job.max_tasks_per_zone
         allowed_zones = [
             zone
             for zone in state.view.capacities_by_zone
-            if (only_zone is None or zone == only_zone) and (limit is None or tasks_by_zone.get(zone, 0) < limit)
+            if (only_zone is None or zone == only_zone)
+            and (max_per_zone is None or tasks_by_zone.get(zone, 0) < max_per_zone)
         ]
-        for zones in _zone_levels(allowed_zones, tasks_by_zone):
-            searched = [zone for zone in zones if not state.no_free_room.covers(requirements, zone)]
-            capacity = best_fit(requirements, (at for zone in searched for at in state.with_room[zone]))
+        for zones in _zones_by_preference(allowed_zones, tasks_by_zone):
+            searched = [zone for zone in zones if not state.no_free_capacity.covers(requirements, zone)]
+            capacity = best_fit(
+                requirements, (candidate for zone in searched for candidate in state.with_free_cpus[zone])
+            )
             if capacity is not None:
                 if requirements.image in capacity.images:
                     return capacity
                 return self._preemption.machine_with_image(job, zones) or capacity
             for zone in searched:
-                state.no_free_room.add(requirements, zone)
+                state.no_free_capacity.add(requirements, zone)
         return self._preemption.machine_in_zones(job, allowed_zones) or self._choose_booting(
             job, allowed_zones, tasks_by_zone, assignment
         )
@@ -58,25 +61,25 @@
     def _choose_booting(
         self, job: JobView, allowed_zones: list[int], tasks_by_zone: dict[int, int], assignment: ZoneAssignment
     ) -> MachineCapacity | None:
-        """A machine that boots, in the zone with the fewest replicas."""
+        """Returns a booting machine that fits, in the order of `_zones_by_preference`; None if there is none."""
         state = self._state
-        for zones in _zone_levels(allowed_zones, tasks_by_zone):
+        for zones in _zones_by_preference(allowed_zones, tasks_by_zone):
             for zone in zones:
-                if state.no_booting_room.covers(job.requirements, zone):
+                if state.no_booting_capacity.covers(job.requirements, zone):
                     continue
                 capacity = best_fit(job.requirements, state.booting[zone])
                 if capacity is not None:
                     assignment.on_booting_machines += 1
                     return capacity
-                state.no_booting_room.add(job.requirements, zone)
+                state.no_booting_capacity.add(job.requirements, zone)
         return None
 
 
-def _zone_levels(zones: list[int], tasks_by_zone: dict[int, int]) -> Iterable[list[int]]:
-    """Groups of zones in the order in which they should get the next replica.
+def _zones_by_preference(zones: list[int], tasks_by_zone: dict[int, int]) -> Iterable[list[int]]:
+    """Yields groups of zones, in order of preference for the next replica.
 
-    Two zones are used first, evenly: half of a service's replicas may be in one zone. Every further zone would cost two
-    more record changes for each service, and record changes are the scarcest resource of a large fleet.
+    Replicas are first spread evenly over two zones, since half of a service's replicas may be in one zone. Every
+    further zone would cost two more record changes per service, and these are the scarcest resource of a large fleet.
     """
     used = [zone for zone in zones if tasks_by_zone.get(zone, 0) > 0]
     if len(used) >= SPREAD_ZONES:
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -1,4 +1,4 @@
-"""Commits a plan of admissions: in as few transactions as possible, and only what is still valid and within quota."""
+"""Commits admission plans in as few transactions as possible; drops what is outdated or exceeds a quota."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 log = logging.getLogger(__name__)
 
-RecordVersions = dict[str, int]  # by key, what a plan was decided by; 0 for a record that did not exist
+RecordVersions = dict[str, int]  # by key, the versions that a plan is based on; 0 for a record that did not exist
 
 
 @dataclass(slots=True)
@@ -33,22 +33,22 @@
 
     @property
     def writes(self) -> list[Write]:
-        """All records that it writes."""
+        """The record changes of all admissions in the batch."""
         return [write for admission in self.admissions for write in admission.writes]
 
-    def has_room_for(self, admission: JobAdmission, max_changes: int) -> bool:
-        """Whether there is room for one more job; a single one always has room."""
+    def can_add(self, admission: JobAdmission, max_changes: int) -> bool:
+        """Returns whether the batch stays within the limits with one more admission; an empty batch accepts any."""
         changes = len(self.writes) + len(admission.writes)
-        length = sum(other.length for other in self.admissions) + admission.length
-        return not self.admissions or (changes <= max_changes and length <= records.TXN_BYTES)
+        max_bytes = sum(other.max_bytes for other in self.admissions) + admission.max_bytes
+        return not self.admissions or (changes <= max_changes and max_bytes <= records.TXN_BYTES)
 
     def add(self, admission: JobAdmission) -> None:
-        """Adds the admission of a job."""
+        """Adds the admission of one job."""
         self.admissions.append(admission)
 
 
 class AdmissionWriter:
-    """Turns grants into transactions that guard the leader's record, the jobs and their counts."""
+    """Commits grants in transactions that guard the leader's record and the job and admission records."""
 
     def __init__(
         self,
@@ -60,32 +60,34 @@
     ) -> None:
         self._replica, self._membership, self._view = replica, membership, view
         self._notify_peers = notify_peers
-        self._admitting_arrays = False  # in the background
+        self._admitting_arrays = False  # whether a background curio task is running
         self._tasks_per_record = records.tasks_per_record(limits.value_bytes)
         self._max_changes = limits.transaction_changes
 
     def record_versions(self, job_id: str) -> RecordVersions:
-        """Versions of the records by which an admission of the job is decided.
+        """Returns the versions of the records that an admission of the job is based on.
 
-        A plan may wait while an earlier one is carried out: tasks that this one moved are somewhere else by then, and
-        moving them again would run them twice.
+        A plan may wait while an earlier one is committed. If that one moved the same returned tasks, moving them again
+        would run them twice.
         """
         state = self._replica.state
         keys = [records.ADMISSION + job_id, *(str(allocation) for allocation in state.allocations.get(job_id, {}))]
         return {key: state.version(key) for key in keys}
 
-    async def admit_in_background(self, grants: list[AdmissionGrant], planned: dict[str, RecordVersions]) -> None:
-        """Admits arrays in a task of its own, unless one is running.
+    async def admit_in_background(
+        self, grants: list[AdmissionGrant], planned_versions: dict[str, RecordVersions]
+    ) -> None:
+        """Admits arrays in a background curio task; does nothing if one is running already.
 
-        They may wait for the rate limit for long, and replicas and gangs must not wait with them.
+        Arrays may wait long for the rate limit, and service replicas and gangs must not wait behind them.
         """
         if grants and not self._admitting_arrays:
             self._admitting_arrays = True
-            await curio.spawn(self._admit_arrays, grants, planned, daemon=True)
+            await curio.spawn(self._admit_arrays, grants, planned_versions, daemon=True)
 
-    async def _admit_arrays(self, grants: list[AdmissionGrant], planned: dict[str, RecordVersions]) -> None:
+    async def _admit_arrays(self, grants: list[AdmissionGrant], planned_versions: dict[str, RecordVersions]) -> None:
         try:
-            await self.admit(grants, planned, Urgency.STARTS)
+            await self.admit(grants, planned_versions, Urgency.STARTS)
         except curio.CancelledError:
             raise
         except Exception:  # must not end the controller
@@ -93,36 +95,38 @@
         finally:
             self._admitting_arrays = False
 
-    async def admit(self, grants: list[AdmissionGrant], planned: dict[str, RecordVersions], urgency: Urgency) -> None:
-        """Commits grants whose plan is still valid, in as few transactions as the limits allow."""
-        by_job: dict[str, list[AdmissionGrant]] = {}
+    async def admit(
+        self, grants: list[AdmissionGrant], planned_versions: dict[str, RecordVersions], urgency: Urgency
+    ) -> None:
+        """Commits the grants whose plan is still valid, in as few transactions as the limits allow."""
+        grants_by_job: dict[str, list[AdmissionGrant]] = {}
         for grant in grants:
-            by_job.setdefault(grant.job, []).append(grant)
+            grants_by_job.setdefault(grant.job, []).append(grant)
         batch = _Batch()
-        for job_id, job_grants in by_job.items():
-            admission = self._valid_admission(job_id, job_grants, planned[job_id])
-            if admission is not None and not batch.has_room_for(admission, self._max_changes):
+        for job_id, job_grants in grants_by_job.items():
+            admission = self._valid_admission(job_id, job_grants, planned_versions[job_id])
+            if admission is not None and not batch.can_add(admission, self._max_changes):
                 await self._commit(batch, urgency)
                 batch = _Batch()
-                admission = self._valid_admission(job_id, job_grants, planned[job_id])
+                admission = self._valid_admission(job_id, job_grants, planned_versions[job_id])
             if admission is not None:
                 batch.add(admission)
         if batch.admissions:
             await self._commit(batch, urgency)
 
     def _valid_admission(
-        self, job_id: str, grants: list[AdmissionGrant], planned: RecordVersions
+        self, job_id: str, grants: list[AdmissionGrant], planned_versions: RecordVersions
     ) -> JobAdmission | None:
-        """What the admission of one job writes; None if its plan is not valid any more."""
-        if not is_live(self._replica.state, job_id) or not self._is_still_valid(job_id, grants, planned):
+        """Returns the record changes that admit the tasks of one job; None if the plan for it is outdated."""
+        if not is_live(self._replica.state, job_id) or not self._is_still_valid(job_id, grants, planned_versions):
             return None
         return self._job_admission(job_id, grants)
 
-    def _is_still_valid(self, job_id: str, grants: list[AdmissionGrant], planned: RecordVersions) -> bool:
-        """Whether the records that the plan was made by are unchanged: the count, and allocations that lose tasks."""
+    def _is_still_valid(self, job_id: str, grants: list[AdmissionGrant], planned_versions: RecordVersions) -> bool:
+        """Returns whether the admission record and the allocations that tasks are moved out of are unchanged."""
         state = self._replica.state
-        keys = {records.ADMISSION + job_id, *(str(source) for grant in grants for source in grant.moved)}
-        return all(state.version(key) == planned.get(key, 0) for key in keys)
+        keys = {records.ADMISSION + job_id, *(str(source) for grant in grants for source in grant.moved_from)}
+        return all(state.version(key) == planned_versions.get(key, 0) for key in keys)
 
     def _job_admission(self, job_id: str, grants: list[AdmissionGrant]) -> JobAdmission:
         builder = JobAdmissionBuilder(
@@ -133,7 +137,11 @@
         return builder.build()
 
     async def _commit(self, batch: _Batch, urgency: Urgency) -> None:
-        """Commits what the quotas allow at this moment; nothing else is decided before the transaction is sent."""
+        """Commits the admissions that the quotas allow at present.
+
+        Updating the view, checking the quotas and reserving happen without an `await` in between, so no other admission
+        can use the same quota.
+        """
         term = self._membership.confirmed_term
         if term is None:
             return
@@ -141,8 +149,8 @@
         reservations = self._reserve(batch, term)
         if not batch.admissions:
             return
-        # The count is guarded also where it is not written: once there is one, a late repeat of the transaction that
-        # admitted a job as a whole does nothing, whatever has become of its allocations.
+        # The admission record is guarded even where it is not written: once it exists, a delayed duplicate of the
+        # transaction that admitted a whole job fails, even if the allocations have changed or were deleted since.
         guards = {
             key
             for admission in batch.admissions
@@ -153,24 +161,29 @@
         if result.status is TransactionStatus.COMMITTED:
             await self._notify_peers()
         elif result.status is not TransactionStatus.NOT_EXECUTED:
-            log.info("leader transaction not committed status=%s conflicts=%s", result.status.value, result.failed_keys)
+            log.info(
+                "admission transaction not committed status=%s conflicts=%s", result.status.value, result.failed_keys
+            )
 
     def _reserve(self, batch: _Batch, term: int) -> list[QuotaReservation]:
-        """Charges the batch to its teams; what a quota does not allow any more is left out, to be planned again."""
-        ledger, kept, reservations = self._view.ledger, [], []
+        """Reserves the charge of each admission in the batch, and removes those that exceed a quota by now.
+
+        A later round plans the removed ones again.
+        """
+        ledger, within_quota, reservations = self._view.ledger, [], []
         for admission in batch.admissions:
             job = self._view.jobs[admission.job]
             reservation = ledger.reserve(admission.job, job.team, job.charge_per_task, admission.tasks, term)
             self._log_admission(admission, term, reservation is not None)
             if reservation is None:
                 continue
-            kept.append(admission)
+            within_quota.append(admission)
             reservations.append(reservation)
-        batch.admissions = kept
+        batch.admissions = within_quota
         return reservations
 
     def _log_admission(self, admission: JobAdmission, term: int, admitted: bool) -> None:
-        """Logs the totals it was decided by; a refusal at debug level, since it may repeat in every round."""
+        """Logs the quota totals behind the decision; a refusal at debug level, since it may repeat in every round."""
         level = logging.INFO if admitted else logging.DEBUG
         event = "tasks admitted" if admitted else "admission refused by quota"
         if log.isEnabledFor(level):
@@ -188,15 +201,19 @@
             )
 
     def _release_resolved(self, reservations: list[QuotaReservation], result: TransactionResult) -> None:
-        """Releases reservations once the records show the outcome of the transaction; until then they are kept.
+        """Releases the reservations of a transaction once its outcome is known and visible in the copy of the records.
 
-        A conflict may mean that an earlier copy of the transaction was carried out whose response was lost.
+        After a conflict, the transaction may still have been executed: the conflict may be that of a retry after a lost
+        response. The reservations are then kept until the copy has reached the revision of the conflict. Those of an
+        unknown outcome are kept until a later term.
         """
         self._view.update()
-        certain = result.status not in (TransactionStatus.CONFLICT, TransactionStatus.UNKNOWN)
-        shown = result.status is TransactionStatus.CONFLICT and result.revision <= self._replica.state.revision
+        outcome_known = result.status not in (TransactionStatus.CONFLICT, TransactionStatus.UNKNOWN)
+        outcome_in_copy = (
+            result.status is TransactionStatus.CONFLICT and result.revision <= self._replica.state.revision
+        )
         for reservation in reservations:
-            if certain or shown:
+            if outcome_known or outcome_in_copy:
                 self._view.ledger.release(reservation)
             elif result.status is TransactionStatus.CONFLICT:
                 reservation.resolved_by_revision = result.revision
