--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -1,4 +1,4 @@
-"""Final states of jobs: those whose tasks have all ended, and cancelled ones that are off all machines."""
+"""Records final states of jobs: completed ones, and cancelled ones whose tasks have all left their machines."""
 
 from __future__ import annotations
 
@@ -19,29 +19,32 @@
 
 
 class JobFinalizer:
-    """Records final states; only the leader may, and each transaction guards the leader's record."""
+    """Records final states of jobs. Only the leader may do so: each transaction guards the leader's record."""
 
     def __init__(self, replica: Replica, view: FleetView, limits: StateLimits) -> None:
         self._replica, self._view = replica, view
         self._changed_keys = replica.state.subscribe()
         self._changed_jobs: dict[str, None] = {}
         self._max_changes = limits.transaction_changes
-        reserved = 1 + replica.store.reserved_guards  # the leader's record, and what the store adds
+        reserved = 1 + replica.store.reserved_guards  # for the leader's record, and the guards that the store adds
         self._max_guards = limits.transaction_guards - self._max_changes - reserved
 
     def begin_term(self) -> None:
-        """Checks all jobs once."""
+        """Marks all jobs for a check, at the beginning of a term."""
         self._changed_keys.clear()
         self._changed_jobs = dict.fromkeys(self._replica.state.jobs)
 
     def discard_changes(self) -> None:
-        """Another controller leads: changes would pile up, and a new leader checks all jobs in any case."""
+        """Discards changed keys while another controller leads, so that they don't accumulate.
+
+        Nothing is missed: a new leader checks all jobs.
+        """
         self._changed_keys.clear()
 
     async def finalize_jobs(self) -> None:
-        """Records the final states of jobs whose tasks have all ended, and of cancelled ones that are off all machines.
+        """Records the final states of completed jobs, and of cancelled ones whose tasks have all left their machines.
 
-        Only jobs with changed records are checked, and several are committed in one transaction.
+        Checks only jobs with changed records, and commits several final states in one transaction.
         """
         for key in self._changed_keys:
             if key.startswith(records.JOB):
@@ -75,15 +78,15 @@
     async def _commit_final_states(self, writes: list[Write], guards: set[str], job_ids: list[str]) -> None:
         result = await self._replica.commit(writes, [records.LEADER, *guards])
         if result.status is TransactionStatus.INVALID and len(job_ids) > 1:
-            for job_id in job_ids:  # one job whose state is refused must not keep the others from theirs
+            for job_id in job_ids:  # one by one, so that a job whose write is invalid does not block the others
                 final = self.final_record(job_id)
                 if final is not None:
                     job_writes, job_guards = self._final_writes(job_id, final)
                     await self._commit_final_states(job_writes, job_guards, [job_id])
-        log.debug("job ends committed count=%d status=%s", len(job_ids), result.status.value)
+        log.debug("final job states committed count=%d status=%s", len(job_ids), result.status.value)
 
     def final_record(self, job_id: str) -> FinalRecord | None:
-        """The final state of a job, or None if it has not ended."""
+        """Returns the final record of a job; None if the job has not ended, or is not on record."""
         state = self._replica.state
         record = state.jobs.get(job_id)
         if record is None:
@@ -98,7 +101,7 @@
         entries = [entry for allocation in allocations.values() for entry in allocation.tasks]
         ended = sum(entry.state == records.ENDED for entry in entries)
         if job.gang and ended and not any(entry.state == records.ASSIGNED for entry in entries):
-            return FinalRecord(wire.DONE, record.spec.tasks)  # members complete together, also those that were free
+            return FinalRecord(wire.DONE, record.spec.tasks)  # members complete together, also those without a machine
         return FinalRecord(wire.DONE, record.spec.tasks) if ended >= record.spec.tasks else None
 
     def _final_writes(self, job_id: str, final: FinalRecord) -> tuple[list[Write], set[str]]:
@@ -106,7 +109,8 @@
         writes = [Write(records.FINAL + job_id, final), Write(records.JOB + job_id, None)]
         if job_id in state.admissions:
             writes.append(Write(records.ADMISSION + job_id, None))
-        # What does not fit is deleted by the partition owners' clean-up; all of it while changes are scarce.
+        # Partition owners' clean-up deletes the allocations that don't fit here, and all of them while the rate limit
+        # leaves no changes to spare.
         allocations = [str(key) for key in state.allocations.get(job_id, {})]
         if self._replica.store.rates.can_write_now(Urgency.ENDS):
             writes += [Write(key, None) for key in allocations[: self._max_changes - len(writes)]]
--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -1,8 +1,8 @@
-"""Compares the quota ledger with a fresh sum over the records: in full as a term begins, in small steps after that.
+"""Compares the quota ledger with sums over the records: completely when a term begins, in small steps after that.
 
-The ledger is updated by increments. A missed one is never noticed by itself, and the team exceeds its quota by as much
-(docs/incidents/2026-12-02-team-limit.md). So a difference is logged with both sums and corrected, and the team is
-admitted nothing until a whole pass finds no difference.
+The ledger is updated incrementally. A missed update would go unnoticed, and the team would exceed its quota by that
+amount (docs/incidents/2026-12-02-team-limit.md). A difference is therefore logged with both sums and corrected, and
+admission is suspended for the team until a complete pass finds no difference.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from spurarch.storage import records
 
 PASS_INTERVAL_S = 10.0
-ENTRIES_AT_ONCE = 500  # task entries in one step: well below a millisecond, ten times a second
-CHARGED = {records.FREE, records.ASSIGNED}
+ENTRIES_AT_ONCE = 500  # task entries per step: takes well below a millisecond, ten times a second
+CHARGED_STATES = {records.FREE, records.ASSIGNED}
 
 
 class LedgerAudit:
-    """Passes over all jobs, one after another; `passes` counts those that are complete."""
+    """Checks the charges of all jobs in repeated passes; `passes` counts the completed ones."""
 
     def __init__(self, view: FleetView) -> None:
         self._view = view
@@ -31,58 +31,64 @@
         self.passes = 0
 
     def check_all(self) -> None:
-        """Makes one whole pass. The view has to be up to date."""
-        self._begin()
+        """Runs one complete pass. The fleet view has to be up to date."""
+        self._begin_pass()
         while self._remaining_jobs:
             self._check_job(self._remaining_jobs.pop())
-        self._end()
+        self._end_pass()
 
     def check_some(self, now: float) -> None:
-        """Makes one step of the pass, or begins the next one if its time has come. The view has to be up to date."""
+        """Runs one step of a pass; begins the next pass if none is in progress and it is due.
+
+        `now` is monotonic, in seconds. The fleet view has to be up to date.
+        """
         if not self._in_progress:
             if now < self._next_pass:
                 return
             self._next_pass = now + PASS_INTERVAL_S
-            self._begin()
+            self._begin_pass()
         entries = 0
         while self._remaining_jobs and entries < ENTRIES_AT_ONCE:
             entries += self._check_job(self._remaining_jobs.pop())
         if not self._remaining_jobs:
-            self._end()
+            self._end_pass()
 
-    def _begin(self) -> None:
+    def _begin_pass(self) -> None:
         self._remaining_jobs = list(self._view.state.jobs)
         self._differing_teams = set()
         self._in_progress = True
 
-    def _end(self) -> None:
-        """The jobs equal their records by now; what each team is charged with has to be the sum of its jobs."""
+    def _end_pass(self) -> None:
+        """Checks the team totals, and resumes admission for teams without a difference in this pass.
+
+        All jobs match their records by now, so the total of a team has to be the sum over its jobs.
+        """
         self._check_totals()
-        for team in self._view.ledger.suspended:
+        for team in self._view.ledger.suspended_teams:
             if team not in self._differing_teams:
                 self._view.ledger.resume(team)
         self._in_progress = False
         self.passes += 1
 
     def _check_job(self, job_id: str) -> int:
-        """Compares one job with its records; returns the number of entries read."""
+        """Compares the charge of one job with its records and corrects it; returns 1 plus the number of its entries."""
         view = self._view
         allocations = view.state.allocations.get(job_id, {})
-        entries = charged = 0
+        entries = recorded = 0
         for record in allocations.values():
             entries += len(record.tasks)
             for entry in record.tasks:
-                charged += entry.state in CHARGED
+                recorded += entry.state in CHARGED_STATES
         job = view.jobs.get(job_id)
-        if job_id in view.state.jobs and (job is None or job.charged != charged):
-            self._correct_job(job_id, job, charged)
+        if job_id in view.state.jobs and (job is None or job.charged != recorded):
+            self._correct_job(job_id, job, recorded)
         return 1 + entries
 
-    def _correct_job(self, job_id: str, job: JobView | None, charged: int) -> None:
+    def _correct_job(self, job_id: str, job: JobView | None, recorded: int) -> None:
         view = self._view
-        booked = job.charged if job is not None else 0
+        charged = job.charged if job is not None else 0
         view.ledger.violations.record(
-            f"job charge differs from its records job={job_id} charged={booked} recorded={charged}"
+            f"job charge differs from its records job={job_id} charged={charged} recorded={recorded}"
         )
         view.rebook_job(job_id)
         team = view.jobs[job_id].team
--- a/spurarch/coordination/fleet/quota_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -1,8 +1,9 @@
-"""Resources charged to each team: tasks on record, and tasks of admissions under way. Quotas are enforced here alone.
+"""Ledger of the resources charged to each team, for recorded tasks and for admissions that are being committed.
 
-A plan is made by the totals of one moment and committed later, while other plans are made and committed
-(docs/incidents/2026-12-02-team-limit.md). So whoever commits an admission reserves its tasks here first, in the same
-step, and the reservation stays until the copy of the records shows what became of it.
+Quotas are enforced only here. An admission is planned from the current totals and committed later, while others are
+planned and committed (docs/incidents/2026-12-02-team-limit.md). `AdmissionWriter` therefore checks the quota and
+reserves the charge in one step, without an `await`, before it commits. The reservation is kept until the copy of the
+records shows the outcome.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 
 log = logging.getLogger(__name__)
 
-TEAMS_SHOWN = 12  # in a line of log
-UNITS = 1_000_000_000  # of a CPU or GPU; sums of integers neither drift nor depend on their order
+MAX_TEAMS_LOGGED = 12  # per log line
+NANOS_PER_UNIT = 1_000_000_000  # per CPU or GPU; integer sums neither drift nor depend on their order
 
 
 @dataclass(slots=True)
 class Charge:
-    """CPUs and GPUs, in billionths. Never changed: frozen, its instances would take twice as long to make."""
+    """CPUs and GPUs, in billionths. Never modified; a frozen dataclass would take twice as long to instantiate."""
 
     cpus: int = 0
     gpus: int = 0
 
     @staticmethod
     def of(cpus: float, gpus: float) -> Charge:
-        """Amounts as they stand in jobs and settings."""
-        return Charge(round(cpus * UNITS), round(gpus * UNITS))
+        """Converts amounts of CPUs and GPUs, as stated in jobs and settings."""
+        return Charge(round(cpus * NANOS_PER_UNIT), round(gpus * NANOS_PER_UNIT))
 
     def times(self, tasks: int) -> Charge:
-        """What a number of tasks takes of which each takes this."""
+        """Returns the charge of `tasks` tasks that have this charge each."""
         return Charge(self.cpus * tasks, self.gpus * tasks)
 
     def __add__(self, other: Charge) -> Charge:
-        """Both together."""
+        """Returns the sum, for each resource."""
         return Charge(self.cpus + other.cpus, self.gpus + other.gpus)
 
     def __sub__(self, other: Charge) -> Charge:
-        """What is left of this without the other; may be negative."""
+        """Returns the difference, for each resource; it may be negative."""
         return Charge(self.cpus - other.cpus, self.gpus - other.gpus)
 
     def excess_over(self, other: Charge) -> Charge:
-        """How much more this is, of each resource."""
+        """Returns by how much this exceeds the other charge, for each resource; 0 where it does not."""
         return Charge(max(0, self.cpus - other.cpus), max(0, self.gpus - other.gpus))
 
     def __str__(self) -> str:
-        """As it stands in lines of log."""
-        text = f"{self.cpus / UNITS:g}cpu"
-        return f"{text},{self.gpus / UNITS:g}gpu" if self.gpus else text
+        """Formats the charge for log lines, in CPUs and GPUs."""
+        text = f"{self.cpus / NANOS_PER_UNIT:g}cpu"
+        return f"{text},{self.gpus / NANOS_PER_UNIT:g}gpu" if self.gpus else text
 
 
 NO_CHARGE = Charge()
@@ -58,142 +59,161 @@
 
 @dataclass(eq=False, slots=True)
 class QuotaReservation:
-    """Tasks of one job in an admission that is under way."""
+    """Charge of one job's admission whose outcome is not yet visible in the copy of the records."""
 
     job: str
     team: int
     charge: Charge
-    term: int  # version of the leader's record under which it is committed
-    resolved_by_revision: int | None = None  # the revision whose copy shows what became of it, once that is known
+    term: int  # version of the leader's record that the transaction guards
+    resolved_by_revision: int | None = None  # from this revision on, a copy shows the outcome; None if not known yet
 
 
 class QuotaLedger:
-    """Charges by team, as dense indices."""
+    """Charges, reservations and quotas by team. Teams are identified by dense indices."""
 
-    def __init__(self, limits: dict[int, Team]) -> None:
-        self._teams = limits
+    def __init__(self, teams: dict[int, Team]) -> None:
+        self._teams = teams
         self._quotas: dict[int, Charge] = {}
         self._recorded: dict[int, Charge] = {}
         self._reserved: dict[int, Charge] = {}
         self._reservations: list[QuotaReservation] = []
-        self._suspended: set[int] = set()  # teams that are admitted nothing until the ledger is compared again
-        self._before: dict[int, Charge] = {}  # teams whose records changed since the last check, and their totals then
-        self.teams_with_unreadable_jobs: set[int] = set()  # their charges are not known
+        self._suspended: set[int] = set()  # until a complete audit pass finds no difference
+        self._totals_before_changes: dict[int, Charge] = {}  # recorded totals at the last check, of teams changed since
+        self.teams_with_unreadable_jobs: set[int] = set()  # allowed no tasks, since their charges are unknown
         self.violations = InvariantViolations()
 
     def recorded(self, team: int) -> Charge:
-        """What the team's tasks on record take."""
+        """Returns the charge of the team's recorded tasks."""
         return self._recorded.get(team, NO_CHARGE)
 
     def reserved(self, team: int) -> Charge:
-        """What the team's admissions under way take."""
+        """Returns the charge of all reservations of the team."""
         return self._reserved.get(team, NO_CHARGE)
 
     def reserved_for(self, job: str) -> Charge:
-        """What admissions under way of one job take."""
+        """Returns the charge of all reservations of the job."""
         if not self._reservations:
             return NO_CHARGE
         return sum((r.charge for r in self._reservations if r.job == job), NO_CHARGE)
 
     def adjust(self, team: int, charge: Charge) -> None:
-        """The records of a team's tasks changed."""
-        self._before.setdefault(team, self.recorded(team))
+        """Adds `charge`, which may be negative, to the recorded total of a team."""
+        self._totals_before_changes.setdefault(team, self.recorded(team))
         self._recorded[team] = self.recorded(team) + charge
 
-    def tasks_allowed(self, team: int, each: Charge, most: int, beside: Charge = NO_CHARGE) -> int:
-        """How many more equal tasks the team's quota allows, `beside` what is on record and under way."""
+    def tasks_allowed(self, team: int, charge_per_task: Charge, max_tasks: int, planned: Charge = NO_CHARGE) -> int:
+        """Returns how many more equal tasks the team's quota allows, `max_tasks` at most.
+
+        `planned` counts towards the quota in addition to the recorded and reserved charges. A team that is unknown,
+        suspended, or has unreadable jobs is allowed no tasks.
+        """
         if team not in self._teams or team in self._suspended or team in self.teams_with_unreadable_jobs:
             return 0
-        limit = self._quotas.get(team) or self._quota(team)
+        quota = self._quotas.get(team) or self._quota(team)
         recorded, reserved = self._recorded.get(team, NO_CHARGE), self._reserved.get(team, NO_CHARGE)
-        if limit.cpus > 0 and each.cpus > 0:
-            most = min(most, (limit.cpus - recorded.cpus - reserved.cpus - beside.cpus) // each.cpus)
-        if limit.gpus > 0 and each.gpus > 0:
-            most = min(most, (limit.gpus - recorded.gpus - reserved.gpus - beside.gpus) // each.gpus)
-        return max(0, most)
-
-    def reserve(self, job: str, team: int, each: Charge, tasks: int, term: int) -> QuotaReservation | None:
-        """Charges the tasks of an admission that is about to be committed; None if the quota does not allow them."""
-        if self.tasks_allowed(team, each, tasks) < tasks:
+        if quota.cpus > 0 and charge_per_task.cpus > 0:
+            max_tasks = min(
+                max_tasks, (quota.cpus - recorded.cpus - reserved.cpus - planned.cpus) // charge_per_task.cpus
+            )
+        if quota.gpus > 0 and charge_per_task.gpus > 0:
+            max_tasks = min(
+                max_tasks, (quota.gpus - recorded.gpus - reserved.gpus - planned.gpus) // charge_per_task.gpus
+            )
+        return max(0, max_tasks)
+
+    def reserve(self, job: str, team: int, charge_per_task: Charge, tasks: int, term: int) -> QuotaReservation | None:
+        """Reserves the charge of an admission that is about to be committed.
+
+        Returns None, and reserves nothing, if the quota does not allow all of the tasks.
+        """
+        if self.tasks_allowed(team, charge_per_task, tasks) < tasks:
             return None
-        reservation = QuotaReservation(job, team, each.times(tasks), term)
+        reservation = QuotaReservation(job, team, charge_per_task.times(tasks), term)
         self._reservations.append(reservation)
         self._reserved[team] = self.reserved(team) + reservation.charge
         return reservation
 
     def release(self, reservation: QuotaReservation) -> None:
-        """The admission is on record and charged as that, or certainly never will be."""
+        """Releases a reservation whose tasks are charged as recorded by now, or will certainly never be admitted."""
         if reservation in self._reservations:
             self._reservations.remove(reservation)
             self._reserved[reservation.team] = self.reserved(reservation.team) - reservation.charge
 
     def release_resolved(self, revision: int, term: int) -> None:
-        """Releases what a copy of the records at a revision, of at least this term, shows.
+        """Releases the reservations whose outcome is visible in a copy of the records at `revision`.
 
-        A transaction of an earlier term was carried out before this one began, or never will be.
+        The copy has to include the beginning of `term`. A transaction of an earlier term either was executed before
+        that or never will be.
         """
         for reservation in list(self._reservations):
-            shown = reservation.resolved_by_revision is not None and reservation.resolved_by_revision <= revision
-            if shown or reservation.term < term:
+            outcome_in_copy = (
+                reservation.resolved_by_revision is not None and reservation.resolved_by_revision <= revision
+            )
+            if outcome_in_copy or reservation.term < term:
                 self.release(reservation)
 
     def check_quotas(self, whole: bool) -> None:
-        """Checks that no changed total rose beyond its quota, as long as the records are followed as a whole.
+        """Records a violation for each team whose recorded total has risen above its quota since the last check.
 
-        A quota that was lowered leaves a total beyond it: nothing more is admitted, and nothing is stopped.
+        With `whole` False, nothing is recorded, because the copy of the records was incomplete. A total
+        above a quota that was lowered is not a violation: nothing more is admitted, and no task is stopped.
         """
-        for team, before in self._before.items():
-            most, total = self._quota(team), self.recorded(team)
-            cpus_rose_beyond = 0 < most.cpus < total.cpus > before.cpus
-            gpus_rose_beyond = 0 < most.gpus < total.gpus > before.gpus
+        for team, previous in self._totals_before_changes.items():
+            quota, total = self._quota(team), self.recorded(team)
+            cpus_rose_beyond = 0 < quota.cpus < total.cpus > previous.cpus
+            gpus_rose_beyond = 0 < quota.gpus < total.gpus > previous.gpus
             if whole and (cpus_rose_beyond or gpus_rose_beyond):
                 self.violations.record(
-                    f"team total rose beyond its quota team={self._name(team)} {self.describe(team)}"
+                    f"team total rose beyond its quota team={self._team_name(team)} {self.describe(team)}"
                 )
-        self._before.clear()
+        self._totals_before_changes.clear()
 
     def suspend(self, team: int, reason: str) -> None:
-        """Admits nothing more to a team whose charges are not known for certain; what runs goes on."""
+        """Suspends admission for a team whose charges are uncertain; its running tasks are not affected."""
         if team not in self._suspended:
-            log.error("team admission suspended team=%s reason=%s", self._name(team), reason)
+            log.error("team admission suspended team=%s reason=%s", self._team_name(team), reason)
         self._suspended.add(team)
 
     def resume(self, team: int) -> None:
-        """The team's charges are known again."""
+        """Resumes admission for a team whose charges match the records again."""
         if team in self._suspended:
             self._suspended.remove(team)
-            log.info("team admission resumed team=%s", self._name(team))
+            log.info("team admission resumed team=%s", self._team_name(team))
 
-    def _name(self, team: int) -> str:
-        limit = self._teams.get(team)
-        return limit.name if limit is not None else str(team)
+    def _team_name(self, team: int) -> str:
+        settings = self._teams.get(team)
+        return settings.name if settings is not None else str(team)
 
     @property
-    def suspended(self) -> list[int]:
-        """Teams that are admitted nothing."""
+    def suspended_teams(self) -> list[int]:
+        """The teams whose admission is suspended."""
         return list(self._suspended)
 
     def summary(self) -> str:
-        """The teams that are charged for anything, those closest to their limits first, for a line of log."""
-        used = [team for team in self._teams if self.recorded(team) != NO_CHARGE or self.reserved(team) != NO_CHARGE]
-        used.sort(key=self._cpus_left)
-        shown = [f"team={self._name(team)} {self.describe(team)}" for team in used[:TEAMS_SHOWN]]
-        return "; ".join(shown) if shown else "none charged"
+        """Formats the totals of charged teams for a log line, those with the least unused CPU quota first."""
+        charged_teams = [
+            team for team in self._teams if self.recorded(team) != NO_CHARGE or self.reserved(team) != NO_CHARGE
+        ]
+        charged_teams.sort(key=self._cpus_left)
+        team_texts = [
+            f"team={self._team_name(team)} {self.describe(team)}" for team in charged_teams[:MAX_TEAMS_LOGGED]
+        ]
+        return "; ".join(team_texts) if team_texts else "none charged"
 
     def _cpus_left(self, team: int) -> float:
-        most = self._quota(team).cpus
-        return most - self.recorded(team).cpus - self.reserved(team).cpus if most else float("inf")
+        quota_cpus = self._quota(team).cpus
+        return quota_cpus - self.recorded(team).cpus - self.reserved(team).cpus if quota_cpus else float("inf")
 
     def describe(self, team: int) -> str:
-        """The team's totals and limit, for a line of log."""
+        """Formats the totals and the quota of a team for a log line."""
         return f"charged={self.recorded(team)} reserved={self.reserved(team)} quota={self._quota(team)}"
 
     def _quota(self, team: int) -> Charge:
-        """The team's quota; 0 of a resource means that it is unlimited."""
-        most = self._quotas.get(team)
-        if most is None:
-            limit = self._teams.get(team)
-            most = self._quotas[team] = (
-                Charge.of(limit.quota_cpus, limit.quota_gpus) if limit is not None else NO_CHARGE
+        """Returns the team's quota; 0 of a resource means that it is unlimited."""
+        quota = self._quotas.get(team)
+        if quota is None:
+            settings = self._teams.get(team)
+            quota = self._quotas[team] = (
+                Charge.of(settings.quota_cpus, settings.quota_gpus) if settings is not None else NO_CHARGE
             )
-        return most
+        return quota
