--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -1,6 +1,6 @@
-"""What only the leader does: admission rounds, final states of jobs, scale out.
+"""Work that only the leader does: admission rounds, final states of jobs, and scale out.
 
-Every transaction guards the leader's record.
+Every transaction guards the leader's record, so it fails once another controller leads.
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_PAUSE_S = 0.1
-ROUND_REST_FACTOR = 8.0  # rest after a round, as a multiple of its duration
-MIN_TASKS_PER_ZONE = 16  # of an array, while record changes are scarcest
+MIN_ROUND_PAUSE_S = 0.1
+ROUND_PAUSE_FACTOR = 8.0  # pause after a round, as a multiple of its processor time
+# Fewest tasks of an array to assign to a zone while record changes are scarcest; falls to 1 while they are plentiful.
+MIN_TASKS_PER_ZONE = 16
 FINALIZER_INTERVAL_S = 0.1
 LOG_INTERVAL_S = 10.0
 
 
 class Leader:
-    """The leading controller's rounds; they do nothing while another one leads."""
+    """Runs the leader's rounds; they do nothing while another controller leads."""
 
     def __init__(self, context: LeaderContext) -> None:
         self.replica, self.membership, self.view = context.replica, context.membership, context.view
@@ -43,12 +44,12 @@
         self._scale_out = ScaleOut(context)
         self._next_job: str | None = None
         self._shortages: list[CapacityShortage] = []
-        self._term: int | None = None  # under which this process leads
+        self._term: int | None = None  # under which this process leads; None if it does not lead
         self._audit = LedgerAudit(self.view)
-        self._next_log = self._next_round = 0.0
+        self._next_log_at = self._next_round_at = 0.0
 
     async def run(self) -> None:
-        """Runs a round whenever records changed or the controller asks for one."""
+        """Runs a round whenever records change or the controller requests one; runs until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
@@ -61,7 +62,7 @@
             await curio.sleep(0.01)
 
     async def _run_if_leading(self) -> None:
-        """One round, if this process leads and its copy of the records is as new as its term."""
+        """Runs a round if this process leads and its copy of the records includes the beginning of its term."""
         term = self.membership.confirmed_term
         if term is None and self.membership.leading and self.replica.loaded:
             await self.replica.sync()
@@ -73,7 +74,7 @@
             return
         if self._term != term:
             self._begin_term(term)
-        await self._round(term)
+        await self._run_round(term)
 
     def _begin_term(self, term: int) -> None:
         self._term = term
@@ -84,36 +85,39 @@
         self._audit.check_all()
         log.info("leader term confirmed term=%d revision=%d", term, self.replica.state.revision)
 
-    async def _round(self, term: int) -> None:
+    async def _run_round(self, term: int) -> None:
         now = time.monotonic()
-        if now < self._next_round:
+        if now < self._next_round_at:
             return
-        share = self.deployment.limits.cpu
-        budget = RoundBudget(self.tuning.budget_ms / 1000, share)
+        cpu_share = self.deployment.limits.cpu
+        budget = RoundBudget(self.tuning.budget_ms / 1000, cpu_share)
         self.view.update()
         self.view.ledger.release_resolved(self.replica.state.revision, term)
-        scarcity = min(1.0, max(0.0, 1.0 - self.replica.store.rates.write_level()))
-        admission = AdmissionPlanner(
+        write_scarcity = min(1.0, max(0.0, 1.0 - self.replica.store.rates.write_level()))
+        planner = AdmissionPlanner(
             self.view,
             time.time(),
             self.tuning.ahead_s,
             self.tuning.longest_wait_s,
             self._scale_out.booting_capacity(now),
-            max(1, round(MIN_TASKS_PER_ZONE * scarcity)),
+            max(1, round(MIN_TASKS_PER_ZONE * write_scarcity)),
         )
-        plan = admission.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
-        # A share of the processor at most, however much there is to admit.
+        plan = planner.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
+        # The pause keeps rounds within a share of the processor, however much there is to admit.
         ended = time.monotonic()
-        self._next_round = ended + rest_s(ended - now, share, ROUND_REST_FACTOR, ROUND_PAUSE_S)
+        self._next_round_at = ended + rest_s(ended - now, cpu_share, ROUND_PAUSE_FACTOR, MIN_ROUND_PAUSE_S)
         self._record_shortages(plan)
-        urgent = [grant for grant in plan.grants if not self.view.jobs[grant.job].array]
-        arrays = [grant for grant in plan.grants if self.view.jobs[grant.job].array]
-        planned = {grant.job: self._writer.record_versions(grant.job) for grant in plan.grants}
-        await self._writer.admit(urgent, planned, Urgency.REPLICAS)
-        await self._writer.admit_in_background(arrays, planned)
+        service_and_gang_grants = [grant for grant in plan.grants if not self.view.jobs[grant.job].array]
+        array_grants = [grant for grant in plan.grants if self.view.jobs[grant.job].array]
+        planned_versions = {grant.job: self._writer.record_versions(grant.job) for grant in plan.grants}
+        await self._writer.admit(service_and_gang_grants, planned_versions, Urgency.REPLICAS)
+        await self._writer.admit_in_background(array_grants, planned_versions)
 
     def _record_shortages(self, plan: AdmissionPlan) -> None:
-        """Collects the shortages of all rounds from the first job to the last: a spent budget requests no less."""
+        """Collects the shortages of all rounds that together plan every job.
+
+        Otherwise fewer machines would be requested when the time budget ends a round before the last job.
+        """
         self._shortages += plan.shortages
         if plan.next_job is None or not self._scale_out.shortages:
             self._scale_out.shortages = self._shortages
@@ -122,13 +126,17 @@
         self._next_job = plan.next_job
 
     async def run_scaling(self) -> None:
-        """Runs scale out: prices on every controller, requests and the machine list while this one leads."""
+        """Runs scale out until cancelled: requests and lists machines while this controller leads.
+
+        Machine types and prices are kept up to date on every controller.
+        """
         await self._scale_out.run()
 
     async def run_finalizer(self) -> None:
-        """Runs the rounds that record final states of jobs.
+        """Runs the rounds that record final states of jobs and audit the quota ledger, until cancelled.
 
-        When record changes are scarce these wait for the rate limit, and admission must not wait with them.
+        They are separate from admission rounds: when record changes are scarce, final states wait for the rate limit,
+        and admission must not wait behind them.
         """
         while True:
             await curio.sleep(FINALIZER_INTERVAL_S)
@@ -136,16 +144,16 @@
                 if self._term is not None and self.membership.confirmed_term == self._term:
                     self.view.update()
                     self._audit.check_some(time.monotonic())
-                    self._log_teams(time.monotonic())
+                    self._log_quota_totals(time.monotonic())
                     await self._finalizer.finalize_jobs()
             except curio.CancelledError:
                 raise
             except Exception:  # a failure in one round must not end the controller
-                log.exception("job end round failed")
+                log.exception("job finalizer round failed")
 
-    def _log_teams(self, now: float) -> None:
-        if now >= self._next_log:
-            self._next_log = now + LOG_INTERVAL_S
+    def _log_quota_totals(self, now: float) -> None:
+        if now >= self._next_log_at:
+            self._next_log_at = now + LOG_INTERVAL_S
             ledger = self.view.ledger
             log.info(
                 "team quota totals term=%s revision=%d violations=%d %s",
--- a/spurarch/coordination/leader_context.py
+++ b/spurarch/coordination/leader_context.py
@@ -1,4 +1,4 @@
-"""The parts of a controller that the leader's work needs."""
+"""The components of a controller that the leader's work depends on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderContext:
-    """What the leader's rounds, and those of scale out, work with."""
+    """Components and settings that the leader's rounds and those of scale out use."""
 
     replica: Replica
     membership: Membership
