--- a/spurarch/coordination/admission/plan.py
+++ b/spurarch/coordination/admission/plan.py
@@ -24,7 +24,11 @@
 
 @dataclass(slots=True)
 class CapacityShortage:
-    """Tasks that the quota allows and that don't fit on ready machines; those that fit on booting ones are included."""
+    """Tasks that the quota allows and that don't fit on ready machines.
+
+    Tasks booked on booting machines are included; tasks that the same round admits ahead of time or by preemption are
+    not.
+    """
 
     requirements: Requirements
     count: int
