--- a/spurarch/coordination/fleet/__init__.py
+++ b/spurarch/coordination/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tables of machines, jobs and teams that all decisions read, kept up to date from the records."""
+"""In-memory tables of machines, jobs and teams for scheduling decisions, updated from changed records."""
--- a/spurarch/coordination/fleet/allocation_totals.py
+++ b/spurarch/coordination/fleet/allocation_totals.py
@@ -1,4 +1,4 @@
-"""The tasks of one allocation, counted as its record shows them."""
+"""Task counts of one allocation, computed from its record."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from spurarch.storage import records
 from spurarch.storage.records import AllocationRecord
 
-OFTEN_TRIED_ATTEMPTS = 2  # starts after which it is more likely the task than the machines
+REPEATED_ATTEMPTS = 2  # from this many starts on, a fault of the task is likelier than a fault of the machines
 
 
 @dataclass(slots=True)
 class AllocationTotals:
-    """Tasks of one allocation, counted by state and by machine."""
+    """Numbers of tasks of one allocation, by state and by machine."""
 
     zone: int
-    tasks_by_machine: dict[int, int] = field(default_factory=dict)  # indices of machines
+    tasks_by_machine: dict[int, int] = field(default_factory=dict)  # assigned tasks, by machine index
     assigned: int = 0
     unassigned: int = 0
-    often_tried: int = 0  # unassigned ones with OFTEN_TRIED_ATTEMPTS or more
+    repeatedly_attempted: int = 0  # unassigned tasks with REPEATED_ATTEMPTS or more starts
     ended: int = 0
     returned: int = 0
 
     @property
     def charged(self) -> int:
-        """Number of tasks that their team is charged with."""
+        """Number of tasks that are charged to the team's quota."""
         return self.assigned + self.unassigned
 
     @classmethod
     def of(cls, record: AllocationRecord, zone: int, machines: StringInterner) -> AllocationTotals:
-        """Counts the tasks of a record."""
+        """Counts the tasks of an allocation record; `machines` maps machine names to indices."""
         totals = cls(zone)
         for entry in record.tasks:
             if entry.state == records.ASSIGNED:
@@ -39,7 +39,7 @@
                 totals.assigned += 1
             elif entry.state == records.FREE:
                 totals.unassigned += 1
-                totals.often_tried += entry.attempt >= OFTEN_TRIED_ATTEMPTS
+                totals.repeatedly_attempted += entry.attempt >= REPEATED_ATTEMPTS
             elif entry.state == records.ENDED:
                 totals.ended += 1
             else:
--- a/spurarch/coordination/fleet/capacity.py
+++ b/spurarch/coordination/fleet/capacity.py
@@ -1,19 +1,19 @@
-"""What a task requires, what a machine has free, and bookings that can be undone.
+"""Resource requirements of tasks, free capacity of machines, and bookings that can be undone.
 
-Decisions work on these tables, whose machines, zones, types and images are dense indices. They make no input or output.
+Machines, zones, machine types and images are dense indices. No I/O.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 
-EPSILON = 1e-6
-PRIORITIES = 4
+EPSILON = 1e-6  # tolerance for rounding in sums of CPUs, GPUs and gigabytes
+PRIORITIES = 4  # levels; 0 is the highest
 
 
 @dataclass(slots=True)
 class Requirements:
-    """The resources that one task requires, and where it may run."""
+    """Resources and placement constraints of one task; None in a constraint allows all types or zones."""
 
     cpus: float
     gpus: float
@@ -26,11 +26,11 @@
 
     @property
     def shape(self) -> tuple[object, ...]:
-        """Resources and constraints without image and priority: tasks of equal shape fit on the same machines."""
+        """Resources and constraints without image and priority; tasks of equal shape fit on the same machines."""
         return self.cpus, self.gpus, self.memory_gb, self.spot, self.types, self.zones
 
     def requires_at_least(self, other: Requirements) -> bool:
-        """A machine on which this task fits would also fit the other one."""
+        """Whether the other task certainly fits on every machine on which this task fits."""
         return (
             other.cpus <= self.cpus
             and other.memory_gb <= self.memory_gb
@@ -43,7 +43,10 @@
 
 @dataclass(slots=True)
 class MachineCapacity:
-    """One machine: what it has, what of that is free, and the images that it has cached."""
+    """Total and free resources of one machine, its booked tasks and its cached images.
+
+    `by_priority` holds the booked CPUs, GPUs and gigabytes of memory for each priority.
+    """
 
     machine: int
     zone: int
@@ -61,7 +64,7 @@
     by_priority: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(PRIORITIES)])
 
     def book(self, requirements: Requirements, count: int = 1) -> None:
-        """Books tasks; a negative count takes bookings back."""
+        """Books `count` tasks; a negative count removes bookings."""
         cpus, gpus, memory = requirements.cpus * count, requirements.gpus * count, requirements.memory_gb * count
         self.free_cpus -= cpus
         self.free_gpus -= gpus
@@ -73,15 +76,15 @@
         used[2] += memory
 
     def unbook(self, requirements: Requirements, count: int = 1) -> None:
-        """Takes bookings back."""
+        """Removes the bookings of `count` tasks."""
         self.book(requirements, -count)
 
     def copy(self) -> MachineCapacity:
-        """Copy whose bookings may be changed; the set of images is shared."""
+        """Returns a copy with its own bookings; the set of images is shared with the original."""
         return replace(self, by_priority=[list(used) for used in self.by_priority])
 
     def fits_by_preemption(self, requirements: Requirements) -> bool:
-        """The task would fit if work of lower priority left."""
+        """Whether the task would fit if all work of lower priority were preempted."""
         cpus, gpus, memory = self.free_cpus, self.free_gpus, self.free_memory_gb
         for used in self.by_priority[requirements.priority + 1 :]:
             cpus += used[0]
@@ -95,7 +98,7 @@
         )
 
     def allows(self, requirements: Requirements) -> bool:
-        """The task may run on this kind of machine, full or not."""
+        """Whether machine type, spot and zone satisfy the task's constraints, regardless of free capacity."""
         return (
             (requirements.types is None or self.type in requirements.types)
             and (requirements.spot or not self.spot)
@@ -103,7 +106,7 @@
         )
 
     def fits(self, requirements: Requirements) -> bool:
-        """The task may run here and there is room."""
+        """Whether the constraints allow the task here and the free capacity suffices."""
         return (
             requirements.cpus <= self.free_cpus + EPSILON
             and requirements.memory_gb <= self.free_memory_gb + EPSILON
@@ -112,7 +115,7 @@
         )
 
     def fits_when_empty(self, requirements: Requirements) -> bool:
-        """The task would fit here if the machine were empty."""
+        """Whether the task would fit if no other task ran here."""
         return (
             requirements.cpus <= self.cpus + EPSILON
             and requirements.memory_gb <= self.memory_gb + EPSILON
@@ -120,23 +123,23 @@
             and self.allows(requirements)
         )
 
-    def slots_after_preemption(self, requirements: Requirements, most: int) -> int:
-        """Number of such tasks, `most` at most, that would fit once all work below the highest priority has ended.
+    def slots_after_preemption(self, requirements: Requirements, max_tasks: int) -> int:
+        """Number of such tasks, up to `max_tasks`, that would fit once all work below the highest priority has ended.
 
-        Work of the highest priority is taken to run without end.
+        Work of the highest priority is assumed to run indefinitely.
         """
-        others = self.by_priority[1:]
-        emptied = replace(
+        lower = self.by_priority[1:]
+        after_preemption = replace(
             self,
-            free_cpus=self.free_cpus + sum(used[0] for used in others),
-            free_gpus=self.free_gpus + sum(used[1] for used in others),
-            free_memory_gb=self.free_memory_gb + sum(used[2] for used in others),
+            free_cpus=self.free_cpus + sum(used[0] for used in lower),
+            free_gpus=self.free_gpus + sum(used[1] for used in lower),
+            free_memory_gb=self.free_memory_gb + sum(used[2] for used in lower),
         )
-        return emptied.task_slots(requirements, most) if self.allows(requirements) else 0
+        return after_preemption.task_slots(requirements, max_tasks) if self.allows(requirements) else 0
 
-    def task_slots(self, requirements: Requirements, most: int) -> int:
-        """Number of such tasks that fit by their resources, `most` at most."""
-        count = float(most)
+    def task_slots(self, requirements: Requirements, max_tasks: int) -> int:
+        """Number of such tasks that the free resources fit, up to `max_tasks`; does not check constraints."""
+        count = float(max_tasks)
         if requirements.cpus > 0:
             count = min(count, (self.free_cpus + EPSILON) // requirements.cpus)
         if requirements.memory_gb > 0:
@@ -147,9 +150,9 @@
 
 
 class TentativeBookings:
-    """Bookings that a decision makes on shared tables and undoes at its end: cheaper than a copy of every table.
+    """Bookings that a decision makes on shared tables and undoes at its end, which is cheaper than copying the tables.
 
-    The code between the first booking and `undo` must not await anything.
+    Code between the first booking and `undo` must not await: other tasks of the event loop would see the bookings.
     """
 
     __slots__ = ("_booked",)
@@ -158,12 +161,12 @@
         self._booked: list[tuple[MachineCapacity, Requirements, int]] = []
 
     def book(self, capacity: MachineCapacity, requirements: Requirements, count: int = 1) -> None:
-        """Books tasks, or takes bookings back with a negative count."""
+        """Books `count` tasks until `undo`; a negative count removes bookings until then."""
         capacity.book(requirements, count)
         self._booked.append((capacity, requirements, count))
 
     def undo(self) -> None:
-        """Takes all bookings back, the last one first."""
+        """Reverses all bookings, the latest first."""
         while self._booked:
             capacity, requirements, count = self._booked.pop()
             capacity.book(requirements, -count)
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -1,7 +1,7 @@
-"""The whole fleet as the records show it: capacity of machines, charges of teams, waiting tasks of partitions.
+"""In-memory view of the whole fleet: capacity of machines, charges of teams, and unassigned tasks of partitions.
 
-Kept up to date from changed records only. The leader admits by it and partition owners place by it; both work on its
-dense indices and never on names.
+Each update applies only the records that changed. The leader uses the view for admission and partition owners use it
+for placement; both work on its dense indices instead of names.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey
 
-IMAGES_KEPT = 32
-WAIT_OBJECTIVE = "wait"  # kind of an objective for how soon the tasks of a class start
-GANG_START_S = 30.0  # within which a gang without such an objective should start
+MAX_CACHED_IMAGES = 32  # per machine, the most recently used
+WAIT_OBJECTIVE = "wait"  # kind of the objectives that limit the time from submission to start, by job class
+DEFAULT_GANG_START_S = 30.0  # time to start for gangs of a class without such an objective
 
 
 class FleetView:
-    """Tables of machines, jobs and teams."""
+    """Tables of machines, jobs and teams, indexed by dense integers and job ids."""
 
     def __init__(
         self, state: ClusterState, teams: Iterable[Team], size_weight: float = 0.0, objectives: Iterable[Objective] = ()
@@ -44,23 +44,23 @@
         self.ledger = QuotaLedger(self.quotas)
         self.machine_types: dict[str, wire.MachineType] = {}
         self._booked: dict[AllocationKey, AllocationTotals] = {}
-        self._allocations_without_job: dict[str, set[AllocationKey]] = {}  # of jobs that are not known here
+        self._allocations_without_job: dict[str, set[AllocationKey]] = {}  # by job id, for jobs without a record
         self._unassigned: dict[AllocationKey, AllocationTotals] = {}
-        self._assigned: dict[int, dict[AllocationKey, int]] = defaultdict(dict)  # by machine
-        self._cached_images: dict[int, dict[int, None]] = defaultdict(dict)
+        self._assigned: dict[int, dict[AllocationKey, int]] = defaultdict(dict)  # by machine, the number of tasks
+        self._cached_images: dict[int, dict[int, None]] = defaultdict(dict)  # by machine, the latest used last
         self._guaranteed = GuaranteedJobs(self.jobs, self.quotas)
         self.ranking = JobRanking(self.jobs, self._guaranteed, size_weight)
         self._changed_keys = state.subscribe()
         self._was_consistent = state.consistent
-        self._start_within = {o.job_class: o.within_s for o in objectives if o.kind == WAIT_OBJECTIVE}
+        self._start_limits_s = {o.job_class: o.within_s for o in objectives if o.kind == WAIT_OBJECTIVE}
         for team in teams:
             self.quotas[self.teams.index(team.name)] = team
 
     def set_machine_types(self, offers: list[wire.MachineType]) -> None:
-        """Sets the machine types that the cloud offers; machines of types unknown until now become usable."""
-        fresh = any(offer.name not in self.machine_types for offer in offers)
+        """Sets the machine types that the cloud offers; machines of newly listed types are added by the next update."""
+        has_new_types = any(offer.name not in self.machine_types for offer in offers)
         self.machine_types = {offer.name: offer for offer in offers}
-        if fresh:
+        if has_new_types:
             self._changed_keys.update((key, None) for key in self.state.entries if key.startswith(records.MACHINE))
 
     def update(self) -> None:
@@ -72,44 +72,44 @@
         keys = list(self._changed_keys)
         self._changed_keys.clear()
         self.ranking.invalidate()
-        touched: dict[str, None] = {}
-        allocations: dict[AllocationKey, None] = {}
+        changed_jobs: dict[str, None] = {}
+        changed_allocations: dict[AllocationKey, None] = {}
         for key in keys:
             if key.startswith(records.JOB):
                 job_id = key[len(records.JOB) :]
-                touched[job_id] = None
+                changed_jobs[job_id] = None
                 self._apply_job(job_id)
-                allocations |= dict.fromkeys(self._allocations_without_job.pop(job_id, ()))
+                changed_allocations |= dict.fromkeys(self._allocations_without_job.pop(job_id, ()))
             elif key.startswith(records.MACHINE):
                 self._apply_machine(*records.parse_machine_key(key))
             elif key.startswith(records.ALLOCATION):
                 allocation = AllocationKey.parse(key)
-                allocations[allocation] = touched[allocation.job] = None
+                changed_allocations[allocation] = changed_jobs[allocation.job] = None
             elif key.startswith(records.ADMISSION):
-                touched[key[len(records.ADMISSION) :]] = None
-        for allocation in allocations:
+                changed_jobs[key[len(records.ADMISSION) :]] = None
+        for allocation in changed_allocations:
             self._apply_allocation(allocation)
-        for job_id in touched:
+        for job_id in changed_jobs:
             self._update_demand(job_id)
         self.ledger.check_quotas(was_consistent and self._was_consistent)
         self._update_unreadable_teams()
 
     def _update_unreadable_teams(self) -> None:
-        """Teams with a job whose record can't be read are admitted nothing more: their charges are not known."""
+        """Blocks admission for teams with a job whose record can't be decoded, since their charges are unknown."""
         if not self.state.unreadable and not self.ledger.teams_with_unreadable_jobs:
             return
-        uncertain: set[int] = set()
+        unreadable_teams: set[int] = set()
         for key, team in self.state.unreadable.items():
             job_id = records.job_of(key)
             job = self.jobs.get(job_id) if job_id is not None else None
             if job is not None:
-                uncertain.add(job.team)
+                unreadable_teams.add(job.team)
             elif team is not None:
-                uncertain.add(self.teams.index(team))
-        self.ledger.teams_with_unreadable_jobs = uncertain
+                unreadable_teams.add(self.teams.index(team))
+        self.ledger.teams_with_unreadable_jobs = unreadable_teams
 
     def rebook_job(self, job_id: str) -> None:
-        """Books a job's allocations again, as they are on record."""
+        """Replaces a job's bookings by those that its records show."""
         self._apply_job(job_id)
         booked = [allocation for allocation in self._booked if allocation.job == job_id]
         for allocation in [*self.state.allocations.get(job_id, ()), *booked]:
@@ -117,32 +117,32 @@
         self._update_demand(job_id)
 
     def _update_demand(self, job_id: str) -> None:
-        """Updates what a job still demands of its team's quota; drops jobs off the record once they hold no booking."""
+        """Updates a job's admitted and unfinished tasks; removes a job whose record and allocations were deleted."""
         job = self.jobs.get(job_id)
         if job is None:
             return
         record = self.state.jobs.get(job_id)
-        first = self.state.admissions.get(job_id)
-        # Without a count, all tasks were admitted by one transaction, if any were.
-        job.admitted = first.next if first else job.tasks if job_id in self.state.allocations else 0
-        live = record is not None and not record.cancelled
-        self._guaranteed.set_unfinished_tasks(job_id, job.tasks - job.ended if live else 0)
+        admission = self.state.admissions.get(job_id)
+        # Without an admission record, one transaction admitted either all tasks or none.
+        job.admitted = admission.next if admission else job.tasks if job_id in self.state.allocations else 0
+        active = record is not None and not record.cancelled
+        self._guaranteed.set_unfinished_tasks(job_id, job.tasks - job.ended if active else 0)
         if record is None and job_id not in self.state.allocations:
             del self.jobs[job_id]
-            self._guaranteed.forget(job_id)
+            self._guaranteed.remove(job_id)
 
     def unreachable_zones(self) -> set[str]:
-        """Zones whose owner reports that their workers are unreachable: nothing can be placed there."""
+        """Zones that their partition owner reports as unreachable; no tasks can be placed there."""
         members = self.state.members
         owners = {zone: members.get(partition.node) for zone, partition in self.state.partitions.items()}
         return {zone for zone, member in owners.items() if member is not None and zone in member.unreachable_zones}
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Jobs that fit into their team's guarantee together with the team's earlier ones: they need not wait."""
+        """Ids of the jobs that the team's guarantee covers together with its earlier jobs; they rank before others."""
         return self._guaranteed.job_ids()
 
     def borrowed_cpus(self, team: int) -> float:
-        """CPUs that a team runs beyond its guarantee, on which other teams may preempt; negative if it runs fewer."""
+        """CPUs that a team uses beyond its guarantee, which other teams may preempt; negative if it uses fewer."""
         quota = self.quotas.get(team)
         return sum(self.running_cpus[team].values()) - (quota.guaranteed_cpus if quota is not None else 0.0)
 
@@ -152,7 +152,7 @@
             self.jobs[job_id] = self._job_view(job_id, record)
 
     def _job_view(self, job_id: str, record: records.JobRecord) -> JobView:
-        """The decisions' view of a job."""
+        """Builds the view of a job from its record."""
         spec = record.spec
         gang = spec.kind == wire.GANG
         requirements = Requirements(
@@ -179,7 +179,7 @@
             record.submitted_at,
             spec.estimate_s,
             spec.image_gb,
-            record.submitted_at + self._start_within.get(spec.job_class, GANG_START_S) if gang else None,
+            record.submitted_at + self._start_limits_s.get(spec.job_class, DEFAULT_GANG_START_S) if gang else None,
         )
 
     def _apply_machine(self, zone: str, name: str) -> None:
@@ -216,11 +216,11 @@
     def _apply_allocation(self, allocation: AllocationKey) -> None:
         job = self.jobs.get(allocation.job)
         if job is None:
-            # Ended, or not read yet: keys are read in their order, allocations before jobs. What is skipped for good
-            # here is never charged (docs/incidents/2026-12-02-team-limit.md).
-            self._remember_without_job(allocation)
+            # The job has ended or was not read yet: keys are read in order, allocations before jobs. The allocation is
+            # applied when its job is read, or it would never be charged (docs/incidents/2026-12-02-team-limit.md).
+            self._track_without_job(allocation)
             return
-        charged = 0  # tasks more than before
+        charged = 0  # change of the number of charged tasks
         old = self._booked.pop(allocation, None)
         if old is not None:
             self._unassigned.pop(allocation, None)
@@ -238,24 +238,25 @@
         if charged:
             self.ledger.adjust(job.team, job.charge_per_task.times(charged))
 
-    def _remember_without_job(self, allocation: AllocationKey) -> None:
-        mine = self._allocations_without_job.setdefault(allocation.job, set())
+    def _track_without_job(self, allocation: AllocationKey) -> None:
+        tracked = self._allocations_without_job.setdefault(allocation.job, set())
         if allocation in self.state.allocations.get(allocation.job, ()):
-            mine.add(allocation)
+            tracked.add(allocation)
         else:
-            mine.discard(allocation)
-        if not mine:
+            tracked.discard(allocation)
+        if not tracked:
             del self._allocations_without_job[allocation.job]
 
-    def _book(self, allocation: AllocationKey, job: JobView, booked: AllocationTotals, sign: int) -> None:
-        charged = booked.charged
-        job.tasks_by_zone[booked.zone] += sign * charged
+    def _book(self, allocation: AllocationKey, job: JobView, totals: AllocationTotals, sign: int) -> None:
+        """Adds an allocation's tasks to the tables (`sign` 1), or removes them (`sign` -1)."""
+        charged = totals.charged
+        job.tasks_by_zone[totals.zone] += sign * charged
         job.charged += sign * charged
-        job.ended += sign * booked.ended
-        job.assigned += sign * booked.assigned
-        job.returned += sign * booked.returned
-        self.running_cpus[job.team][booked.zone] += sign * booked.assigned * job.requirements.cpus
-        for machine, count in booked.tasks_by_machine.items():
+        job.ended += sign * totals.ended
+        job.assigned += sign * totals.assigned
+        job.returned += sign * totals.returned
+        self.running_cpus[job.team][totals.zone] += sign * totals.assigned * job.requirements.cpus
+        for machine, count in totals.tasks_by_machine.items():
             assigned = self._assigned[machine]
             if sign > 0:
                 assigned[allocation] = count
@@ -267,28 +268,28 @@
             if capacity is not None:
                 capacity.book(job.requirements, sign * count)
             if sign > 0:
-                self._remember_image(machine, job.requirements.image)
+                self._add_cached_image(machine, job.requirements.image)
 
-    def _remember_image(self, machine: int, image: int) -> None:
+    def _add_cached_image(self, machine: int, image: int) -> None:
         cached = self._cached_images[machine]
         if cached and next(reversed(cached)) == image:
             return
         cached.pop(image, None)
         cached[image] = None
-        if len(cached) > IMAGES_KEPT:
+        if len(cached) > MAX_CACHED_IMAGES:
             del cached[next(iter(cached))]
         capacity = self.capacities.get(machine)
         if capacity is not None:
             capacity.images = set(cached)
 
     def image_fetch_s(self, job: JobView) -> float:
-        """How long a machine needs for the job's image, at best."""
+        """Seconds that the fastest machine type takes to fetch the job's image; 0 if no type has a known rate."""
         rate = max((offer.fetch_gb_per_s for offer in self.machine_types.values()), default=0.0)
         return job.image_gb / rate if rate > 0 else 0.0
 
     def unassigned_tasks(self) -> list[tuple[AllocationKey, JobView, int, int]]:
-        """Allocations with unassigned tasks: the job, how many such tasks, and how many of those were tried often."""
+        """Allocations with unassigned tasks: key, job, their number, and the number of those with repeated attempts."""
         return [
-            (allocation, self.jobs[allocation.job], booked.unassigned, booked.often_tried)
-            for allocation, booked in self._unassigned.items()
+            (allocation, self.jobs[allocation.job], totals.unassigned, totals.repeatedly_attempted)
+            for allocation, totals in self._unassigned.items()
         ]
--- a/spurarch/coordination/fleet/guaranteed_jobs.py
+++ b/spurarch/coordination/fleet/guaranteed_jobs.py
@@ -1,4 +1,4 @@
-"""Which jobs run within the guaranteed quota of their team."""
+"""Jobs whose resources are covered by the guarantee of their team."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class GuaranteedJobs:
-    """The jobs that fit into their team's guarantee together with the team's earlier ones.
+    """Jobs that fit within their team's guarantee together with all unfinished jobs that the team submitted earlier.
 
-    Computed again only after the number of unfinished tasks of some job has changed.
+    The result is cached until the number of unfinished tasks of a job changes.
     """
 
     def __init__(self, jobs: Mapping[str, JobView], teams: Mapping[int, Team]) -> None:
@@ -22,17 +22,17 @@
         self._job_ids: set[str] | None = None
 
     def set_unfinished_tasks(self, job_id: str, tasks: int) -> None:
-        """Sets how many tasks of a job have not ended; none if it is cancelled."""
+        """Sets the number of tasks of a job that have not ended; 0 for a cancelled job."""
         if tasks != self._unfinished_tasks.get(job_id, 0):
             self._unfinished_tasks[job_id] = tasks
             self._job_ids = None
 
-    def forget(self, job_id: str) -> None:
-        """Drops a job that is no longer on record; it must have no unfinished tasks."""
+    def remove(self, job_id: str) -> None:
+        """Removes a job whose record was deleted; it must have no unfinished tasks."""
         self._unfinished_tasks.pop(job_id, None)
 
     def job_ids(self) -> set[str]:
-        """The jobs within their team's guarantee."""
+        """Returns the ids of the jobs within their team's guarantee."""
         if self._job_ids is None:
             self._job_ids = self._compute()
         return self._job_ids
--- a/spurarch/coordination/fleet/interner.py
+++ b/spurarch/coordination/fleet/interner.py
@@ -1,10 +1,10 @@
-"""Dense indices in place of names: decisions work on small integers, never on strings."""
+"""Interning of names: scheduling decisions use dense integer indices instead of strings."""
 
 from __future__ import annotations
 
 
 class StringInterner:
-    """Gives each new name the next free index, for the life of the process."""
+    """Assigns each new name the next index; an index never changes within the process."""
 
     __slots__ = ("_index", "_names")
 
@@ -13,7 +13,7 @@
         self._names: list[str] = []
 
     def index(self, name: str) -> int:
-        """The index of a name, new or known."""
+        """Returns the index of a name; assigns one if the name is new."""
         found = self._index.get(name)
         if found is None:
             found = self._index[name] = len(self._names)
@@ -21,5 +21,5 @@
         return found
 
     def name(self, index: int) -> str:
-        """The name with an index."""
+        """Returns the name to which an index was assigned."""
         return self._names[index]
--- a/spurarch/coordination/fleet/job_ranking.py
+++ b/spurarch/coordination/fleet/job_ranking.py
@@ -7,31 +7,29 @@
 from spurarch.coordination.fleet.guaranteed_jobs import GuaranteedJobs
 from spurarch.coordination.fleet.job_view import JobView
 
-JobRank = tuple[int, bool, float, float]  # a plain tuple, since all waiting jobs are sorted by it in each round
-STARVING = -1  # in place of a priority
+JobRank = tuple[int, bool, float, float]  # a plain tuple for speed: each round sorts all waiting jobs by it
+STARVING_PRIORITY = -1  # ranks a starving job before all priorities
 
 
 class JobRanking:
-    """Ranks jobs by priority, guarantee, and deadline; small jobs come before large ones of the same deadline."""
+    """Ranks jobs by priority, guarantee and deadline; of jobs with equal deadlines, the smallest ranks first."""
 
     def __init__(self, jobs: Mapping[str, JobView], guaranteed: GuaranteedJobs, size_weight: float) -> None:
         self._jobs, self._guaranteed, self._size_weight = jobs, guaranteed, size_weight
-        self._allowance_per_cpu_second: float | None = None  # seconds until the deadline, over the jobs that wait
+        self._allowance_per_cpu_second: float | None = None  # over the waiting jobs; None if outdated
 
     def invalidate(self) -> None:
-        """The jobs have changed."""
+        """Discards values computed from the jobs; called after jobs have changed."""
         self._allowance_per_cpu_second = None
 
     def rank(self, job: JobView, starving: bool) -> JobRank:
-        """The job's place in the order of admission and of placing; the lowest comes first.
+        """Returns the sort key of a job for admission and placement; the lowest key comes first.
 
-        Priority; then jobs within their team's guarantee, who need not wait for others; then the deadline.
-
-        A job of which nothing has run for the longest wait goes before all others of whatever priority: nobody is to
-        starve behind a stream of jobs that are more urgent.
+        The key orders by priority, then jobs within their team's guarantee before others, then by deadline. Starving
+        jobs rank before all others regardless of priority, so that a stream of more urgent jobs can't starve them.
         """
         if starving:
-            return STARVING, False, job.submitted_at, job.submitted_at
+            return STARVING_PRIORITY, False, job.submitted_at, job.submitted_at
         if job.start_deadline is not None:
             deadline = job.start_deadline
         elif job.deadline is not None:
@@ -42,20 +40,22 @@
         return job.requirements.priority, beyond_guarantee, deadline, job.submitted_at
 
     def _size_delay_s(self, job: JobView) -> float:
-        """How much later than by its deadline a job comes in the order, by how much of it has yet to start.
+        """Seconds added to a job's deadline in the rank, proportional to its CPU seconds that have yet to start.
 
-        When more is asked than can be done, order by deadline alone makes nearly everybody late by a little: whoever
-        comes next has waited until it is too late. So the small go first, as in shortest-job-first, and a few of the
-        large are late instead of many jobs. A job of mean size comes `size_weight` of the usual allowance later.
+        Under overload, earliest deadline first makes nearly all jobs miss their deadlines by a little, since each job
+        starts only when its deadline is close. The delay favors small jobs, as in shortest job first: a few large jobs
+        miss their deadlines instead of many jobs. A job of mean size is delayed by `size_weight` times the mean time
+        between submission and deadline.
         """
         if self._allowance_per_cpu_second is None:
             self._allowance_per_cpu_second = self._compute_allowance()
-        return self._size_weight * self._allowance_per_cpu_second * job.work_left
+        return self._size_weight * self._allowance_per_cpu_second * job.cpu_seconds_to_start
 
     def _compute_allowance(self) -> float:
+        """Time from submission to deadline per CPU second that has yet to start, summed over the waiting jobs."""
         waiting = [
             job for job in self._jobs.values() if not job.service and job.deadline is not None and job.to_start > 0
         ]
-        work = sum(job.work_left for job in waiting)
+        cpu_seconds = sum(job.cpu_seconds_to_start for job in waiting)
         allowance_s = sum(job.deadline - job.submitted_at for job in waiting if job.deadline is not None)
-        return allowance_s / work if work > 0 else 0.0
+        return allowance_s / cpu_seconds if cpu_seconds > 0 else 0.0
