--- a/spurarch/coordination/scaling/__init__.py
+++ b/spurarch/coordination/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""Scale out and scale in: which machines to request and to release, and the calls that do it."""
+"""Scale out and scale in: decides which machines to request or release, and calls the cloud."""
--- a/spurarch/coordination/scaling/idle_machines.py
+++ b/spurarch/coordination/scaling/idle_machines.py
@@ -1,4 +1,4 @@
-"""Which machines without a task are released. Decides only."""
+"""Selects machines without tasks for release. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 
 def idle_machines(partition: Partition, view: FleetView, tuning: Tuning, now: float) -> list[Machine]:
-    """Machines without a task: drained ones at once, others after a while and beyond the headroom of the fleet."""
+    """Returns the machines of a partition that have no tasks and are to be released.
+
+    Draining machines and those with repeated task failures are returned at once. Others are returned if they are
+    schedulable and were idle for `idle_release_s`, the partition has no unassigned tasks, and the rest of the fleet
+    keeps its headroom.
+    """
     unreachable = set(map(view.zones.index, view.unreachable_zones()))
     capacities = [
         capacity for capacity in view.capacities.values() if capacity.schedulable and capacity.zone not in unreachable
@@ -24,7 +29,7 @@
         if machine is None or not _is_empty(machine, capacity):
             continue
         if machine.draining or machine.task_failures >= FAILURES_BEFORE_QUARANTINE:
-            # A cordoned machine is no room for anyone: kept, it would only cost. A faulty one is replaced.
+            # A cordoned machine adds no capacity but still costs money. A faulty machine is to be replaced.
             idle.append(machine)
             continue
         if (
--- a/spurarch/coordination/scaling/machine_releaser.py
+++ b/spurarch/coordination/scaling/machine_releaser.py
@@ -1,4 +1,4 @@
-"""Releases machines to the cloud: the checks and the cordon before the call, the call, and what it proves."""
+"""Releases machines to the cloud: checks and cordons them, calls the cloud, and applies the confirmed release."""
 
 from __future__ import annotations
 
@@ -19,43 +19,42 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 1.0
-MAX_RELEASED_AT_ONCE = 100
+RELEASE_RETRY_S = 1.0
+MAX_MACHINES_PER_RELEASE = 100
 CORDON_TIMEOUT_S = 3.0
 
 
 class MachineReleaser:
-    """Release calls of this controller, and the machines that it released."""
+    """Releases machines for this controller and keeps the names of those that it released."""
 
     def __init__(self, replica: Replica, cloud: Cloud, permissions: Permissions, transaction_changes: int) -> None:
         self._replica, self._cloud, self._permissions = replica, cloud, permissions
         self._transaction_changes = transaction_changes
-        self._released: dict[str, str] = {}  # machines that this process released, and their zones
+        self._released: dict[str, str] = {}  # zones of the machines that this process released, by name
 
     async def release_owned(self, owned: OwnedPartition, machines: list[Machine]) -> None:
-        """Releases machines in one call, once it is certain that this controller still owns their partition."""
+        """Releases machines of a partition if a sync with the state service confirms that this controller owns it."""
         requested = machines
         try:
-            # A controller cut off from the state service may have been deposed: to it, all machines of its former
-            # partition look silent while they send heartbeats to the new owner, and their release would end healthy
-            # work.
+            # A controller that can't reach the state service may no longer own the partition. The machines then appear
+            # silent to it while they send heartbeats to the new owner, and releasing them would end healthy tasks.
             if not await self._replica.sync() or not self._permissions.owns(owned.partition):
                 return
             idle = [m for m in machines if m.state is MachineState.ACTIVE and not m.attempts]
             if not await self._cordon(owned.partition, idle) or not self._permissions.owns(owned.partition):
                 return
-            # A task may have been recorded onto one of them meanwhile.
+            # The records may have assigned a task to one of the idle machines during the transactions.
             machines = [machine for machine in machines if machine not in idle or not machine.attempts]
             if machines:
-                await self._release_checked(owned, machines)
+                await self._release_if_still_owned(owned, machines)
         finally:
             _reset_unreleased(requested)
 
-    async def _release_checked(self, owned: OwnedPartition, machines: list[Machine]) -> None:
+    async def _release_if_still_owned(self, owned: OwnedPartition, machines: list[Machine]) -> None:
         for machine in machines:
             state = "responses-lost" if machine.responses_lost else machine.state.value
             log.info("releasing machine machine=%s state=%s tasks=%d", machine.name, state, len(machine.attempts))
-        # The call may wait for long for its share of the rate limit, and this process may stall meanwhile.
+        # Checked again right before the request is sent: the rate limiter may delay it, or this process may stall.
         await self._release(
             owned,
             machines,
@@ -63,7 +62,7 @@
         )
 
     async def release_overdue(self, owned: OwnedPartition, machines: list[Machine]) -> None:
-        """Releases machines with overdue cancelled tasks, whether or not the state service answers."""
+        """Releases machines with overdue cancelled tasks, even if the state service is unreachable."""
         log.info("releasing machines with overdue cancelled tasks machines=%s", ",".join(m.name for m in machines))
 
         def is_still_overdue() -> bool:
@@ -80,7 +79,7 @@
             _reset_unreleased(machines)
 
     async def release_orphaned(self, zones: dict[str, str], may_release: Callable[[], bool]) -> None:
-        """Releases machines, given with their zones, whose partition no live controller owns."""
+        """Releases machines whose partition no running controller owns; `zones` maps their names to zones."""
         log.info("releasing unowned machines with cancelled tasks machines=%s", ",".join(zones))
         try:
             await self._cloud.release(list(zones), may_release)
@@ -89,26 +88,26 @@
             log.info("machine release failed count=%d error=%s", len(zones), err)
 
     def was_released(self, name: str) -> bool:
-        """Whether this process released the machine, as far as it remembers."""
+        """Whether this process released the machine, among the last RELEASED_MACHINES_KEPT."""
         return name in self._released
 
     def remember_released(self, zones: dict[str, str]) -> None:
-        """Remembers released machines and their zones, the newest ones only."""
+        """Adds released machines, given as zones by name; drops the oldest beyond RELEASED_MACHINES_KEPT."""
         self._released.update(zones)
         while len(self._released) > RELEASED_MACHINES_KEPT:
             del self._released[next(iter(self._released))]
 
     def released_unrecorded(self) -> list[str]:
-        """Machines that this process released and that are on record all the same.
+        """Returns released machines that are still on record, at most MAX_MACHINES_PER_RELEASE.
 
-        Another controller owned their partition before their records went, or a transaction that wrote the records was
-        carried out late. Their owner would count them as capacity, and wait for them.
+        The records remain if another controller took over the partition before they were deleted, or if a delayed
+        transaction wrote them. The owner would count the machines as capacity and wait for their heartbeats.
         """
         on_record = self._replica.state.machines
-        return [name for name, zone in self._released.items() if name in on_record[zone]][:MAX_RELEASED_AT_ONCE]
+        return [name for name, zone in self._released.items() if name in on_record[zone]][:MAX_MACHINES_PER_RELEASE]
 
     async def _release(self, owned: OwnedPartition, machines: list[Machine], may_release: Callable[[], bool]) -> None:
-        """Calls the cloud; its answer proves that everything on the machines is gone."""
+        """Calls the cloud; its confirmation proves that no task runs on the machines any more."""
         try:
             await self._cloud.release([machine.name for machine in machines], may_release)
         except (CloudError, NoCapacityError) as err:
@@ -120,7 +119,10 @@
         await owned.wakeup.set()
 
     async def _cordon(self, partition: Partition, machines: list[Machine]) -> bool:
-        """Cordons machines on record first: no task may be assigned to them while the cloud takes them down."""
+        """Cordons machines on record, so that no task is assigned while the cloud releases them.
+
+        Returns False if a transaction was not committed.
+        """
         writes = []
         for machine in machines:
             record = MachineRecord(machine.type, machine.spot, machine.addr, False)
@@ -138,11 +140,11 @@
 
 
 def _reset_unreleased(machines: list[Machine]) -> None:
-    """Lets machines that were not released after all be used, or released, again.
+    """Clears `releasing` of machines that were not released, so that they can get tasks or be released later.
 
-    Also those that were left out because a task was recorded onto them meanwhile: they once stayed cordoned for ever.
+    This includes machines left out because they got a task in the meantime; otherwise they would stay cordoned forever.
     """
     for machine in machines:
         if machine.state is not MachineState.RELEASED:
-            machine.release_after = time.monotonic() + RETRY_S
+            machine.release_after = time.monotonic() + RELEASE_RETRY_S
             machine.releasing = False
--- a/spurarch/coordination/scaling/overdue_machines.py
+++ b/spurarch/coordination/scaling/overdue_machines.py
@@ -1,4 +1,4 @@
-"""Which machines may still run a cancelled task though its stop is overdue. Decides only."""
+"""Selects machines that may still run a cancelled task whose stop is overdue. No I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from spurarch.storage import records
 from spurarch.storage.cluster_state import ClusterState
 
-# Shares of the time within which a cancelled task has to be off its machine.
+# Shares of `cancel_s`, within which a cancelled task must have left its machine.
 OVERDUE_SHARE = 0.4
 OVERDUE_UNCONFIRMED_SHARE = 0.8
-AWAKE_HEARTBEATS = 4.0  # for which this process must have run without a stall
+MIN_HEARTBEATS_SINCE_STALL = 4.0  # heartbeat intervals that this process must have run without a stall
 
 
 def overdue_machines(
     partition: Partition, workers: Workers, now: float, mostly_silent: bool, resumed_at: float = 0.0
 ) -> list[Machine]:
-    """Machines that may still run a cancelled task, though its stop was requested long ago.
+    """Returns machines that may still run a cancelled task long after its stop was requested.
 
-    A machine that hangs neither ends its tasks nor lets its lease end them, and only its release proves that they are
-    off: a wrong release costs work, waiting breaks a guarantee. So these are released in an outage too, when this owner
-    may have been deposed. Machines that never sent it a heartbeat, or most of which fell silent at once, may well send
-    them to another owner, who stops the task; they get longer, until an owner that is cut off has had to give them up.
+    A machine that hangs neither stops its tasks nor lets the expired lease end them; only its release proves that they
+    have ended. Releasing a healthy machine costs work, but waiting breaks the guarantee of `cancel_s`. So these
+    machines are released even during an outage of the state service, when this owner may no longer own the partition.
+
+    Unconfirmed machines, and all machines if most are silent, may send heartbeats to another owner, which stops the
+    task. Their limit is longer: by then, another owner that can't reach the state service must have stopped responding
+    to their heartbeats.
     """
     overdue = []
     for name in list(partition.machines_with_cancelled_tasks):
@@ -35,8 +38,8 @@
             continue
         unconfirmed = mostly_silent or machine.state is MachineState.UNCONFIRMED
         share = OVERDUE_UNCONFIRMED_SHARE if unconfirmed else OVERDUE_SHARE
-        awake = now - resumed_at > AWAKE_HEARTBEATS * workers.heartbeat_interval_s
-        if now - since > share * workers.cancel_s and awake:
+        stall_is_past = now - resumed_at > MIN_HEARTBEATS_SINCE_STALL * workers.heartbeat_interval_s
+        if now - since > share * workers.cancel_s and stall_is_past:
             overdue.append(machine)
     return [machine for machine in overdue if not machine.releasing]
 
@@ -44,15 +47,18 @@
 def orphaned_machines(
     state: ClusterState, zones: set[str], time_since_cancellation: Callable[[str], float | None], workers: Workers
 ) -> dict[str, str]:
-    """Machines, and their zones, that may run a cancelled task while no live controller owns their partition.
+    """Returns machines, with their zones, that may run a cancelled task in a partition without a running owner.
+
+    This happens if an owner ends and the state service fails before another controller claims the partition. The
+    decision uses this controller's copy of the records and the longer limit of unconfirmed machines.
 
-    An owner ended and the state service is down before another could claim the partition. Decided by this controller's
-    copy of the records, as late as for machines that are not confirmed.
+    `zones` are those without a running owner. `time_since_cancellation` returns seconds, or None for a job that is not
+    known to be cancelled.
     """
     orphaned: dict[str, str] = {}
     for job_id in list(state.allocations):
-        cancelled_for_s = time_since_cancellation(job_id)
-        if cancelled_for_s is not None and cancelled_for_s > OVERDUE_UNCONFIRMED_SHARE * workers.cancel_s:
+        elapsed_s = time_since_cancellation(job_id)
+        if elapsed_s is not None and elapsed_s > OVERDUE_UNCONFIRMED_SHARE * workers.cancel_s:
             for allocation, record in state.allocations[job_id].items():
                 if allocation.zone in zones:
                     orphaned.update(
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale in: watches for machines to release, which are silent, overdue, orphaned or idle, and starts their release."""
+"""Scale in: finds machines that are silent, overdue, orphaned or idle, and starts their release."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from spurarch.coordination.runtime.stall_detector import StallDetector
 from spurarch.coordination.scaling.idle_machines import idle_machines
 from spurarch.coordination.scaling.isolation_detector import IsolationDetector
-from spurarch.coordination.scaling.machine_releaser import MAX_RELEASED_AT_ONCE, MachineReleaser
+from spurarch.coordination.scaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from spurarch.coordination.scaling.overdue_machines import orphaned_machines, overdue_machines
 from spurarch.coordination.scaling.silent_machines import (
     SilenceLimits,
@@ -29,11 +29,11 @@
 from spurarch.storage.replica import Replica
 
 CHECK_INTERVAL_S = 1.0
-OUTAGE_S = 6.0  # without a read of the state service: this is no passing slowness
+MIN_OUTAGE_S = 6.0  # without a successful read of the state service; shorter gaps may be mere slowness
 
 
 class ScaleInContext(Struct, frozen=True):
-    """What scale in works with."""
+    """Components and settings that scale in uses."""
 
     replica: Replica
     membership: Membership
@@ -46,7 +46,7 @@
 
 
 class ScaleIn:
-    """All releases of machines by a partition owner."""
+    """Starts all releases of machines by a partition owner."""
 
     def __init__(self, context: ScaleInContext, owned: dict[str, OwnedPartition]) -> None:
         self._replica, self._membership, self._view = context.replica, context.membership, context.view
@@ -56,25 +56,26 @@
         self._releaser = MachineReleaser(
             context.replica, context.cloud, context.permissions, context.deployment.state.transaction_changes
         )
-        self._isolation = IsolationDetector(context.membership)
-        self.unregistered_by_peer: dict[str, dict[str, int]] = {}  # by peer and zone, workers that look for their owner
+        self._isolation_detector = IsolationDetector(context.membership)
+        # By peer and zone, the number of workers that send heartbeats to a peer that does not own their partition.
+        self.unregistered_by_peer: dict[str, dict[str, int]] = {}
         self._next_orphan_check = 0.0
         self._releasing_orphans = False
 
     async def watch_silence(self, owned: OwnedPartition, now: float) -> None:
-        """Starts the release of machines that are silent, whose responses are lost, or that never were confirmed."""
+        """Starts the release of machines that are silent, receive no heartbeat responses, or were never confirmed."""
         if now < owned.next_silence_check or not self._permissions.records_are_fresh(now):
             return
         owned.next_silence_check = now + CHECK_INTERVAL_S
         observation = SilenceObservation(owned.partition, self._workers, now, self._stall_detector.resumed_at)
         owned.mostly_silent = is_mostly_silent(observation)
-        self._isolation.update(owned, self.unregistered_by_peer, now)
+        self._isolation_detector.update(owned, self.unregistered_by_peer, now)
         limits = SilenceLimits.of(self._tuning, self._workers, self._reachability.freshness_limit_s)
         found = silent_machines(observation, limits, owned.mostly_silent)
         await self._start_release(owned, found, now, self._releaser.release_owned)
 
     async def watch_overdue(self, owned: OwnedPartition, now: float) -> None:
-        """Releases machines whose cancelled tasks are overdue, whether or not the state service answers."""
+        """Starts the release of machines with overdue cancelled tasks, even if the state service is unreachable."""
         partition = owned.partition
         if (
             not partition.machines_with_cancelled_tasks
@@ -88,15 +89,18 @@
         await self._start_release(owned, found, now, self._releaser.release_overdue)
 
     async def watch_orphans(self, now: float) -> None:
-        """The same for partitions without an owner, in an outage: any live controller may release such machines."""
+        """Starts the release of machines with overdue cancelled tasks in partitions without an owner.
+
+        Acts only during an outage of the state service, when any running controller may release such machines.
+        """
         if (
             now < self._next_orphan_check
-            or now - self._replica.synced_at < OUTAGE_S
+            or now - self._replica.synced_at < MIN_OUTAGE_S
             or not self._permissions.is_not_stalled(now)
         ):
             return
         if not self._reachability.outage(now):
-            return  # a controller that is alone would take the machines of all others for orphaned
+            return  # an isolated controller would mistake the machines of all other controllers for orphaned ones
         self._next_orphan_check = now + CHECK_INTERVAL_S
         found = orphaned_machines(
             self._replica.state, self._unowned_zones(now), self._permissions.time_since_cancellation, self._workers
@@ -104,10 +108,12 @@
         orphans = {name: zone for name, zone in found.items() if not self._releaser.was_released(name)}
         if orphans and not self._releasing_orphans:
             self._releasing_orphans = True
-            await curio.spawn(self._release_orphans, dict(list(orphans.items())[:MAX_RELEASED_AT_ONCE]), daemon=True)
+            await curio.spawn(
+                self._release_orphans, dict(list(orphans.items())[:MAX_MACHINES_PER_RELEASE]), daemon=True
+            )
 
     def _unowned_zones(self, now: float) -> set[str]:
-        """Zones whose partition neither this controller nor a live peer owns."""
+        """Zones whose partition neither this controller nor a responding peer owns."""
         return {
             zone
             for zone, partition in self._replica.state.partitions.items()
@@ -118,12 +124,14 @@
 
     async def _release_orphans(self, zones: dict[str, str]) -> None:
         try:
-            await self._releaser.release_orphaned(zones, lambda: time.monotonic() - self._replica.synced_at > OUTAGE_S)
+            await self._releaser.release_orphaned(
+                zones, lambda: time.monotonic() - self._replica.synced_at > MIN_OUTAGE_S
+            )
         finally:
             self._releasing_orphans = False
 
     async def release_idle(self, owned: OwnedPartition, now: float) -> None:
-        """Starts the release of idle machines; called in turn with placement, which might give them tasks."""
+        """Starts the release of idle machines; called between placement rounds, which might assign tasks to them."""
         if now >= owned.next_idle_check and self._permissions.records_are_fresh(now) and not owned.mostly_silent:
             owned.next_idle_check = now + CHECK_INTERVAL_S
             found = idle_machines(owned.partition, self._view, self._tuning, now)
@@ -136,18 +144,22 @@
         now: float,
         release: Callable[[OwnedPartition, list[Machine]], Awaitable[None]],
     ) -> None:
-        machines = [machine for machine in found if machine.release_after <= now][:MAX_RELEASED_AT_ONCE]
+        machines = [machine for machine in found if machine.release_after <= now][:MAX_MACHINES_PER_RELEASE]
         if machines:
             for machine in machines:
                 machine.releasing = True
             await curio.spawn(release, owned, machines, daemon=True)
 
     def released_unrecorded(self) -> list[str]:
-        """Machines that this process released and that are on record all the same."""
+        """Machines that this process released and that are still on record."""
         return self._releaser.released_unrecorded()
 
     def on_peer_load(self, node: str, unregistered_machines: dict[str, int], released_machines: list[str]) -> None:
-        """Applies a peer's message: workers that look for their owner there, and machines it released unrecorded."""
+        """Applies a peer's load message.
+
+        `unregistered_machines` counts, by zone, workers that send heartbeats to the peer instead of their partition's
+        owner; `released_machines` are names of machines that the peer released and that are still on record.
+        """
         self.unregistered_by_peer[node] = unregistered_machines
         for owned in self._owned.values():
             for name in released_machines:
@@ -155,4 +167,4 @@
                     owned.partition.on_released(name)
         for zone in unregistered_machines:
             if zone in self._owned:
-                self._owned[zone].next_silence_check = 0.0  # what is left of those workers' leases is short
+                self._owned[zone].next_silence_check = 0.0  # check at once: the leases of those workers expire soon
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out by the leader: the machine list, requests for missing capacity, and machines that never become ready."""
+"""Scale out: reads machine types, and on the leader requests missing capacity and releases failed machines."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 log = logging.getLogger(__name__)
 
-LIST_INTERVAL_S = 5.0
-TYPES_INTERVAL_S = 60.0
-NEVER_READY_BOOT_TIMES = 4.0
-NEVER_READY_LEAST_S = 90.0
-FRESH_S = 3.0  # age of the copy of the records by which this process still acts as the leader
-SLOW_START_S = 60.0  # a machine that takes longer may never come up
+MACHINE_LIST_INTERVAL_S = 5.0
+MACHINE_TYPES_INTERVAL_S = 60.0
+READY_TIMEOUT_BOOT_TIMES = 4.0  # in boot times of the machine type
+MIN_READY_TIMEOUT_S = 90.0
+MAX_COPY_AGE_S = 3.0  # of the records by which this process may act as the leader
+MAX_EXPECTED_BOOT_S = 60.0  # a machine that boots for longer may never become ready
 
 
 @dataclass(frozen=True, slots=True)
 class BootingMachine:
-    """A machine that was requested and is not on record yet, as it has sent no heartbeat."""
+    """A requested machine that is not on record yet because it has sent no heartbeat."""
 
     kind: MachineKind
-    since: float  # monotonic, in seconds
+    requested_at: float  # seconds of the monotonic clock
 
 
 class ScaleOut:
-    """Keeps machine types and prices up to date; requests machines while this process leads."""
+    """Keeps machine types and prices up to date; requests machines while this process is the leader."""
 
     def __init__(self, context: LeaderContext) -> None:
         self._replica, self._membership, self._view = context.replica, context.membership, context.view
@@ -49,97 +49,98 @@
         self._process_incarnation = context.process_incarnation
         self.shortages: list[CapacityShortage] = []
         self.booting: dict[str, BootingMachine] = {}
-        self._exhausted_until: dict[MachineKind, float] = {}
+        self._exhausted_until: dict[MachineKind, float] = {}  # kinds without capacity, not requested until then
         self._requests_made = 0
-        self._term: int | None = None  # under which this process requests machines
-        self._listed = False
+        self._term: int | None = None  # in which this process is the leader; None if it is not
+        self._has_list = False  # whether the machine list was read in this term
 
     def begin_term(self, term: int) -> None:
-        """This process leads from now on."""
+        """Starts acting as the leader of a term."""
         self._term = term
 
     def end_term(self) -> None:
-        """This process does not lead any more, or can't be sure that it does."""
-        self._term, self._listed = None, False
+        """Stops acting as the leader, since the leadership ended or is unconfirmed."""
+        self._term, self._has_list = None, False
 
     def booting_capacity(self, now: float) -> list[MachineCapacity]:
-        """Capacity of machines that boot, except those that take so long that they may never become ready."""
-        self._forget_started()
+        """Capacity of booting machines, except those that boot for longer than MAX_EXPECTED_BOOT_S."""
+        self._drop_recorded()
         return [
             empty_capacity(self._view, self._view.machine_types[b.kind.type], b.kind)
             for b in self.booting.values()
-            if b.kind.type in self._view.machine_types and now - b.since < SLOW_START_S
+            if b.kind.type in self._view.machine_types and now - b.requested_at < MAX_EXPECTED_BOOT_S
         ]
 
-    def _may_act(self) -> bool:
-        """Whether this process leads, by a recent copy of the records.
+    def _may_act_as_leader(self) -> bool:
+        """Whether this process is the leader according to a recent copy of the records.
 
-        One that was stalled would request machines twice, or release machines that the next leader uses by now.
+        Without this check, a former leader that resumes after a stall would request machines twice, or release
+        machines that the next leader uses.
         """
         now = time.monotonic()
-        fresh = now - self._replica.synced_at < FRESH_S and self._stall_detector.confirmed_since_stall(
+        fresh = now - self._replica.synced_at < MAX_COPY_AGE_S and self._stall_detector.confirmed_since_stall(
             now, self._replica.synced_at
         )
-        leading = self._term is not None and self._membership.confirmed_term == self._term
-        return leading and fresh and self._replica.store.trusted
+        is_leader = self._term is not None and self._membership.confirmed_term == self._term
+        return is_leader and fresh and self._replica.store.trusted
 
     async def run(self) -> None:
-        """Keeps types and prices up to date on every controller; the leader also lists and requests machines."""
-        types_at = list_at = -1e9
+        """Reads types and prices on every controller; the leader also lists and requests machines."""
+        types_read_at = list_read_at = -1e9
         while True:
             now = time.monotonic()
             try:
-                if now - types_at > TYPES_INTERVAL_S or not self._view.machine_types:
+                if now - types_read_at > MACHINE_TYPES_INTERVAL_S or not self._view.machine_types:
                     self._view.set_machine_types(await self._cloud.types())
-                    types_at = now
+                    types_read_at = now
                     await self._replica.notify()
-                if self._may_act():
-                    if now - list_at > LIST_INTERVAL_S or not self._listed:
+                if self._may_act_as_leader():
+                    if now - list_read_at > MACHINE_LIST_INTERVAL_S or not self._has_list:
                         await self._check_machine_list()
-                        list_at = now
-                    await self._request_missing()
+                        list_read_at = now
+                    await self._request_missing_capacity()
             except (CloudError, NoCapacityError) as err:
                 log.info("cloud call failed error=%s", err or "no capacity")
             except curio.CancelledError:
                 raise
             except Exception:  # a failure here must not end the controller
-                log.exception("cloud round failed")
+                log.exception("scale out round failed")
             await curio.sleep(self._tuning.scale_out_interval_s if self._view.machine_types else 0.3)
 
-    def _forget_started(self) -> None:
+    def _drop_recorded(self) -> None:
         machines = self._replica.state.machines
-        up = [name for name, booting in self.booting.items() if name in machines[booting.kind.zone]]
-        for name in up:
+        recorded = [name for name, booting in self.booting.items() if name in machines[booting.kind.zone]]
+        for name in recorded:
             del self.booting[name]
 
     async def _check_machine_list(self) -> None:
-        """Finds machines that boot, and releases those that never became ready or failed before they were on record."""
+        """Adds listed booting machines; releases those that failed or were not ready in time and are not on record."""
         machines = await self._cloud.machines()
         now = time.monotonic()
-        self._listed = True
-        known = {name for zone in self._deployment.zones for name in self._replica.state.machines[zone]}
+        self._has_list = True
+        on_record = {name for zone in self._deployment.zones for name in self._replica.state.machines[zone]}
         unusable = []
         for machine in machines:
-            if machine.id in known:
+            if machine.id in on_record:
                 continue
             offer = self._view.machine_types.get(machine.type)
-            timeout_s = max(NEVER_READY_LEAST_S, NEVER_READY_BOOT_TIMES * (offer.boot_s if offer else 60.0))
+            timeout_s = max(MIN_READY_TIMEOUT_S, READY_TIMEOUT_BOOT_TIMES * (offer.boot_s if offer else 60.0))
             if machine.state == wire.FAILED or machine.age_s > timeout_s:
                 unusable.append(machine.id)
                 self.booting.pop(machine.id, None)
             elif machine.state == wire.BOOTING and machine.id not in self.booting:
                 kind = MachineKind(machine.type, machine.zone, machine.spot)
                 self.booting[machine.id] = BootingMachine(kind, now - machine.age_s)
-        self._forget_started()
+        self._drop_recorded()
         for name, booting in list(self.booting.items()):
-            if now - booting.since > NEVER_READY_LEAST_S * 2:
+            if now - booting.requested_at > MIN_READY_TIMEOUT_S * 2:
                 del self.booting[name]
         if unusable:
             log.info("releasing machines that never became ready machines=%s", ",".join(unusable[:100]))
-            await self._cloud.release(unusable[:100], self._may_act)
+            await self._cloud.release(unusable[:100], self._may_act_as_leader)
 
-    async def _request_missing(self) -> None:
-        self._forget_started()
+    async def _request_missing_capacity(self) -> None:
+        self._drop_recorded()
         now = time.monotonic()
         self._exhausted_until = {kind: until for kind, until in self._exhausted_until.items() if until > now}
         unreachable = self._view.unreachable_zones()
@@ -158,13 +159,13 @@
     async def _request_machines(self, order: ScaleOutOrder) -> None:
         self._requests_made += 1
         kind = order.kind
-        # The process's own nonce keeps a name from ever being used again, by whichever controller.
+        # The process incarnation makes the request id unique among all controllers and their restarts.
         request = wire.ScaleOutRequest(
             f"{self._process_incarnation}-{self._requests_made}", kind.type, kind.zone, kind.spot, order.count
         )
         for _ in range(3):
             try:
-                names = await self._cloud.scale_out(request, self._may_act)
+                names = await self._cloud.scale_out(request, self._may_act_as_leader)
                 break
             except NoCapacityError:
                 log.info("cloud has no capacity kind=%s", kind)
@@ -175,7 +176,7 @@
                 if not err.outcome_unknown:
                     return
         else:
-            return  # it may still be carried out: the machines then appear in the list and send heartbeats
+            return  # the cloud may still execute it; the machines then appear in the list and send heartbeats
         now = time.monotonic()
         log.info("scale out granted count=%d requested=%d kind=%s", len(names), order.count, kind)
         for name in names:
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -1,4 +1,4 @@
-"""How many machines of which kind to request in which zone. Decides only."""
+"""Plans how many machines of which kind to request in which zone. No I/O."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 MAX_MACHINES_PER_ORDER = 50
 MAX_MACHINES_PER_PLAN = 400
-WAVE_SLACK = 1.2  # estimates are often wrong, and images are fetched
-LATE_WAVES, MAX_WAVES = 2, 4
+WAVE_DURATION_FACTOR = 1.2  # of the estimated run time: estimates are often wrong, and images must be fetched
+LATE_WAVES, MAX_WAVES = 2, 4  # the former for tasks that miss their deadline with any number of machines
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
 
 
 def empty_capacity(view: FleetView, offer: wire.MachineType, kind: MachineKind) -> MachineCapacity:
-    """An empty machine of a kind, as the decisions see one."""
+    """Returns the capacity of an empty machine of a kind; its machine index is -1."""
     return MachineCapacity(
         -1,
         view.zones.index(kind.zone),
@@ -53,29 +53,29 @@
 
 
 class FreedCapacityEstimate:
-    """Capacity that running arrays free before a requested machine could help.
+    """Estimate of the capacity that running jobs other than services free while a requested machine boots.
 
-    A machine takes its boot time to become ready, and by then much of what runs now has ended. So only tasks that can't
-    start on what is freed meanwhile are worth a machine. `share` says how far that is trusted: estimates are often
-    wrong, and jobs that are submitted later need the same capacity.
+    Many running tasks end before a requested machine is ready, so machines are requested only for tasks that can't
+    start on the capacity freed by then. Only `share` of the estimate is used, because run time estimates are often
+    wrong and jobs submitted later need the same capacity.
     """
 
     def __init__(self, view: FleetView, share: float) -> None:
         self._boot_time_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
-        self._rate = share * sum(
+        self._freed_cpus_per_s = share * sum(
             job.assigned * job.requirements.cpus / max(job.estimate_s, 1.0)
             for job in view.jobs.values()
             if not job.service
         )
-        self._claimed = 0.0
+        self._reserved_cpus = 0.0
 
-    def absorb(self, shortage: CapacityShortage) -> int:
-        """How many of these tasks need no machine of their own."""
+    def reserve(self, shortage: CapacityShortage) -> int:
+        """Reserves freed capacity for tasks of a shortage; returns how many of them need no requested machine."""
         if shortage.service or shortage.requirements.cpus <= 0:
             return 0
-        freed = self._rate * self._boot_time_s
-        count = min(shortage.count, int(max(0.0, freed - self._claimed) / shortage.requirements.cpus))
-        self._claimed += count * shortage.requirements.cpus
+        freed = self._freed_cpus_per_s * self._boot_time_s
+        count = min(shortage.count, int(max(0.0, freed - self._reserved_cpus) / shortage.requirements.cpus))
+        self._reserved_cpus += count * shortage.requirements.cpus
         return count
 
 
@@ -88,16 +88,20 @@
     freed: FreedCapacityEstimate,
     now: float,
 ) -> list[ScaleOutOrder]:
-    """Orders for the tasks that fit neither on ready nor on booting machines, at the lowest price per task."""
+    """Returns orders, at the lowest price per task, for tasks that fit on neither ready nor booting machines.
+
+    `exhausted` are kinds for which the cloud recently had no capacity; `zones` are those in which machines may be
+    requested; `now` is in Unix seconds.
+    """
     plan = _ScaleOutPlan(view, booting, exhausted, zones)
     boot_s = max((offer.boot_s for offer in view.machine_types.values()), default=0.0)
-    for shortage in _merge_equal(_count_by_waves(shortage, now, boot_s) for shortage in shortages):
-        plan.add(shortage, shortage.count - freed.absorb(shortage))
+    for shortage in _merge_equal_shortages(_reduce_to_one_wave(shortage, now, boot_s) for shortage in shortages):
+        plan.add(shortage, shortage.count - freed.reserve(shortage))
     return plan.orders()
 
 
 class _ScaleOutPlan:
-    """A plan under way: capacity that is booting or ordered, what is left of it, and machines by zone."""
+    """A plan being built: free capacity of booting and ordered machines, the orders, and machine counts by zone."""
 
     def __init__(
         self, view: FleetView, booting: Iterable[MachineKind], exhausted: set[MachineKind], zones: list[str]
@@ -107,45 +111,45 @@
         self._capacities = [empty_capacity(view, types[kind.type], kind) for kind in booting if kind.type in types]
         self._ordered: dict[MachineKind, int] = defaultdict(int)
         self._machines_by_zone: dict[int, int] = defaultdict(int)
-        for zone, there in view.capacities_by_zone.items():
-            self._machines_by_zone[zone] += len(there)
+        for zone, capacities in view.capacities_by_zone.items():
+            self._machines_by_zone[zone] += len(capacities)
         for capacity in self._capacities:
             self._machines_by_zone[capacity.zone] += 1
 
     def add(self, shortage: CapacityShortage, count: int) -> None:
-        """Finds capacity for so many tasks: on what is booting or ordered, and then on further machines."""
+        """Books `count` tasks on booting and ordered machines, and orders machines for the rest."""
         zones = self._zones
         if shortage.gang and count > 0:
             zones = self._zone_of_gang(shortage.requirements, count)
-        count = self._fill_known(shortage, count, zones)
+        count = self._book_on_pending(shortage, count, zones)
         self._order_machines(shortage.requirements, count, zones)
 
     def orders(self) -> list[ScaleOutOrder]:
-        """The machines to request, by kind."""
+        """Returns the orders by kind, each limited to MAX_MACHINES_PER_ORDER."""
         return [ScaleOutOrder(kind, min(count, MAX_MACHINES_PER_ORDER)) for kind, count in self._ordered.items()]
 
     def _zone_of_gang(self, requirements: Requirements, count: int) -> list[str]:
-        """The one zone for a gang, in which machines can be had for it; none if there is no such zone."""
-        by_room = _zones_by_room(self._view, requirements, count, self._capacities, self._zones)
-        available = (zone for zone in by_room if self._cheapest_kind(requirements, count, [zone]) is not None)
+        """Returns the zone with the most free slots in which fitting machines can be requested, or an empty list."""
+        by_free_slots = _zones_by_free_slots(self._view, requirements, count, self._capacities, self._zones)
+        available = (zone for zone in by_free_slots if self._cheapest_kind(requirements, count, [zone]) is not None)
         return list(islice(available, 1))
 
-    def _fill_known(self, shortage: CapacityShortage, count: int, zones: list[str]) -> int:
-        """Books tasks on capacity that is booting or ordered already; returns how many are left."""
+    def _book_on_pending(self, shortage: CapacityShortage, count: int, zones: list[str]) -> int:
+        """Books tasks on booting and already ordered machines; returns how many tasks remain."""
         for capacity in self._capacities:
             if count <= 0:
                 break
             if shortage.gang and self._view.zones.name(capacity.zone) not in zones:
                 continue
             if capacity.fits(shortage.requirements):
-                taken = capacity.task_slots(shortage.requirements, count)
-                capacity.book(shortage.requirements, taken)
-                count -= taken
+                booked = capacity.task_slots(shortage.requirements, count)
+                capacity.book(shortage.requirements, booked)
+                count -= booked
         self._capacities = [capacity for capacity in self._capacities if capacity.free_cpus > EPSILON]
         return count
 
     def _order_machines(self, requirements: Requirements, count: int, zones: list[str]) -> None:
-        """Orders the cheapest machines for the rest, as far as there are any."""
+        """Orders the cheapest machines for `count` tasks, as far as offers and MAX_MACHINES_PER_PLAN allow."""
         while count > 0:
             kind = self._cheapest_kind(requirements, count, zones)
             if kind is None or sum(self._ordered.values()) >= MAX_MACHINES_PER_PLAN:
@@ -153,9 +157,9 @@
             self._ordered[kind] += 1
             capacity = empty_capacity(self._view, self._view.machine_types[kind.type], kind)
             self._machines_by_zone[capacity.zone] += 1
-            taken = capacity.task_slots(requirements, count)
-            capacity.book(requirements, taken)
-            count -= taken
+            booked = capacity.task_slots(requirements, count)
+            capacity.book(requirements, booked)
+            count -= booked
             if capacity.free_cpus > EPSILON:
                 self._capacities.append(capacity)
 
@@ -163,47 +167,49 @@
         return _cheapest(self._view, requirements, count, self._exhausted, zones, self._machines_by_zone)
 
 
-def _zones_by_room(
+def _zones_by_free_slots(
     view: FleetView, requirements: Requirements, count: int, booting: list[MachineCapacity], zones: list[str]
 ) -> list[str]:
-    """Zones in the order in which a gang should be given one: where the fewest machines have to be requested for it."""
+    """Returns the zones by free slots for tasks of a gang, the zone that needs the fewest new machines first."""
 
-    def room_in(zone: str) -> int:
+    def free_slots(zone: str) -> int:
         index = view.zones.index(zone)
-        up = view.capacities_by_zone[index].values()
-        coming = (capacity for capacity in booting if capacity.zone == index)
+        ready = view.capacities_by_zone[index].values()
+        booting_in_zone = (capacity for capacity in booting if capacity.zone == index)
         return sum(
-            capacity.task_slots(requirements, count) for capacity in (*up, *coming) if capacity.fits(requirements)
+            capacity.task_slots(requirements, count)
+            for capacity in (*ready, *booting_in_zone)
+            if capacity.fits(requirements)
         )
 
-    return sorted(zones, key=lambda zone: (-room_in(zone), zone))
+    return sorted(zones, key=lambda zone: (-free_slots(zone), zone))
 
 
-def _count_by_waves(shortage: CapacityShortage, now: float, boot_s: float) -> CapacityShortage:
-    """Counts only tasks that need a machine each: the others can run there after them and still meet the deadline.
+def _reduce_to_one_wave(shortage: CapacityShortage, now: float, boot_s: float) -> CapacityShortage:
+    """Reduces the count to the tasks of one wave, if later waves on the same machines still meet the deadline.
 
-    Tasks that are late whatever is requested gain nothing by a machine for every task.
+    Tasks that miss the deadline in any case run in LATE_WAVES, since a machine for each gains nothing.
     """
     if shortage.service or shortage.gang or shortage.deadline is None:
         return shortage
-    left, each = shortage.deadline - now - boot_s, WAVE_SLACK * max(shortage.estimate_s, 1.0)
-    waves = LATE_WAVES if left < each else min(MAX_WAVES, int(left / each))
+    remaining_s, wave_s = shortage.deadline - now - boot_s, WAVE_DURATION_FACTOR * max(shortage.estimate_s, 1.0)
+    waves = LATE_WAVES if remaining_s < wave_s else min(MAX_WAVES, int(remaining_s / wave_s))
     return replace(shortage, count=math.ceil(shortage.count / waves))
 
 
-def _merge_equal(shortages: Iterable[CapacityShortage]) -> list[CapacityShortage]:
-    """Shortages in order of urgency, those of equal tasks merged: there may be hundreds of small jobs."""
-    out: dict[tuple[object, ...], CapacityShortage] = {}
+def _merge_equal_shortages(shortages: Iterable[CapacityShortage]) -> list[CapacityShortage]:
+    """Returns shortages in order of urgency; merges those of equal tasks, since there may be hundreds of small jobs."""
+    merged: dict[tuple[object, ...], CapacityShortage] = {}
     for s in sorted(
         shortages, key=lambda s: (s.requirements.priority, s.deadline if s.deadline is not None else math.inf)
     ):
-        # Gangs stay apart from each other: each has to fit into one zone as a whole.
+        # Shortages of gangs are not merged, since each gang must fit into one zone as a whole.
         key = (*s.requirements.shape, s.requirements.priority, s.service, s.job if s.gang else None)
-        if key in out:
-            out[key] = replace(out[key], count=out[key].count + s.count)
+        if key in merged:
+            merged[key] = replace(merged[key], count=merged[key].count + s.count)
         else:
-            out[key] = s
-    return list(out.values())
+            merged[key] = s
+    return list(merged.values())
 
 
 def _cheapest(
@@ -212,15 +218,18 @@
     count: int,
     exhausted: set[MachineKind],
     zones: list[str],
-    per_zone: dict[int, int],
+    machines_by_zone: dict[int, int],
 ) -> MachineKind | None:
-    """The kind with the lowest price per task, in the zone with the fewest machines; None if there is none."""
+    """Returns the kind with the lowest price per task, among equals in the zone with the fewest machines.
+
+    Returns None if no kind that is available in `zones` fits the task.
+    """
     best: tuple[float, int, str] | None = None
-    choice: MachineKind | None = None
+    cheapest: MachineKind | None = None
     for offer in view.machine_types.values():
-        fit = _tasks_per_machine(requirements, offer)
+        slots = _tasks_per_machine(requirements, offer)
         type_index = view.types.index(offer.name)
-        if fit == 0 or (requirements.types is not None and type_index not in requirements.types):
+        if slots == 0 or (requirements.types is not None and type_index not in requirements.types):
             continue
         for zone in offer.zones:
             zone_index = view.zones.index(zone)
@@ -230,21 +239,21 @@
                 kind = MachineKind(offer.name, zone, spot)
                 if kind in exhausted or (spot and not requirements.spot):
                     continue
-                price = (offer.spot_price if spot else offer.price) / min(fit, count)
-                order = (price, per_zone[zone_index], zone)
-                if best is None or order < best:
-                    best, choice = order, kind
-    return choice
+                price = (offer.spot_price if spot else offer.price) / min(slots, count)
+                rank = (price, machines_by_zone[zone_index], zone)
+                if best is None or rank < best:
+                    best, cheapest = rank, kind
+    return cheapest
 
 
 def _tasks_per_machine(requirements: Requirements, offer: wire.MachineType) -> int:
-    fits = [
-        int((have + EPSILON) / take)
-        for take, have in (
+    slots = [
+        int((available + EPSILON) / required)
+        for required, available in (
             (requirements.cpus, offer.cpus),
             (requirements.gpus, offer.gpus),
             (requirements.memory_gb, offer.memory_gb),
         )
-        if take > 0
+        if required > 0
     ]
-    return min(fits, default=1)
+    return min(slots, default=1)
--- a/spurarch/coordination/scaling/silent_machines.py
+++ b/spurarch/coordination/scaling/silent_machines.py
@@ -1,4 +1,4 @@
-"""Which machines of a partition have missed so many heartbeats that they are released. Decides only."""
+"""Selects machines of a partition for release because their heartbeats are missing. No I/O."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 from spurarch.coordination.partition.partition import Partition
 from spurarch.settings import Tuning, Workers
 
-MOSTLY_SILENT_LEAST_S = 2.5
+# Limits in seconds (`_S`), heartbeat intervals (`_HEARTBEATS`) and lease durations (`_LEASES`).
+MIN_MOSTLY_SILENT_S = 2.5
 MOSTLY_SILENT_HEARTBEATS = 2.2
 LATE_HEARTBEATS = 1.6
-SUSPECT_LATE_SHARE = 1 / 3
+SUSPECT_LATE_SHARE = 1 / 3  # of the active machines
 FIND_OWNER_S = 5.5  # within which a worker finds the new owner of its partition
 UNCONFIRMED_LEASES = 1.5
 EXPIRED_LEASES = 3.0
-EMPTY_LEASES = 2
+WITHOUT_TASKS_LEASES = 2
 SILENT_HEARTBEATS = 2.5
 
 
 class SilenceObservation(Struct, frozen=True):
-    """A partition as its owner sees it at one moment, in seconds of the monotonic clock.
+    """State of a partition at one time, for evaluating the silence of its machines.
 
-    Silence counts from `resumed_at` at the earliest: before that this process itself was stalled.
+    Times are seconds of the monotonic clock. Silence is measured from `resumed_at` at the earliest, since this process
+    was stalled before and received no heartbeats.
     """
 
     partition: Partition
@@ -31,11 +33,11 @@
     resumed_at: float = 0.0
 
     def silence_s(self, machine: Machine) -> float:
-        """Seconds since the machine's last heartbeat, or since it was first seen."""
+        """Seconds since the machine's last heartbeat, or since it was first seen if there is none."""
         return self.now - max(machine.last_heartbeat_at or machine.first_seen, self.resumed_at)
 
     def unconfirmed_s(self, machine: Machine) -> float:
-        """Seconds that a machine without any heartbeat to this owner had to find it."""
+        """Seconds that an unconfirmed machine has had to send this owner a heartbeat."""
         return self.now - max(self.partition.claimed_at, machine.first_seen, self.resumed_at)
 
 
@@ -49,33 +51,36 @@
 
     @staticmethod
     def of(tuning: Tuning, workers: Workers, previous_owner_s: float) -> SilenceLimits:
-        """The limits by the settings; a previous owner may answer workers for `previous_owner_s` more seconds."""
+        """Computes the limits; `previous_owner_s` is how long a previous owner may go on responding to heartbeats."""
         return SilenceLimits(
-            # A previous owner that is cut off from all but its workers may keep them alive, so time proves nothing, and
-            # their release would end healthy work. Such an owner stops in the end, and then its workers look for us.
+            # A previous owner that reaches only its workers may go on extending their leases, so an elapsed lease
+            # duration proves nothing and a release would end healthy tasks. It stops responding after
+            # `previous_owner_s` at the latest; its workers then find this owner.
             unconfirmed_s=max(workers.lease_s * UNCONFIRMED_LEASES, previous_owner_s + FIND_OWNER_S),
-            # Its tasks are free already. A zone that was cut off comes back, and its machines with it.
+            # Not urgent: the tasks may already start elsewhere, and if an unreachable zone becomes reachable again, its
+            # machines can be used again.
             lease_expired_s=EXPIRED_LEASES * workers.lease_s,
             with_tasks_s=max(tuning.silent_release_s, SILENT_HEARTBEATS * workers.heartbeat_interval_s),
-            without_tasks_s=workers.lease_s * EMPTY_LEASES,
+            without_tasks_s=workers.lease_s * WITHOUT_TASKS_LEASES,
         )
 
 
 def is_mostly_silent(observation: SilenceObservation) -> bool:
-    """Whether most machines fell silent at once: more likely this controller is cut off than that they are gone.
+    """Whether more than half of the machines, and at least two, are silent.
 
-    Their release would throw away a zone of healthy machines that send heartbeats to another controller by now.
+    This controller is then more likely to be partitioned from the workers than the machines are to have failed.
+    Releasing them would discard a zone of healthy machines, which may already send heartbeats to another controller.
     """
     workers = observation.workers
-    limit_s = max(MOSTLY_SILENT_LEAST_S, MOSTLY_SILENT_HEARTBEATS * workers.heartbeat_interval_s)
+    limit_s = max(MIN_MOSTLY_SILENT_S, MOSTLY_SILENT_HEARTBEATS * workers.heartbeat_interval_s)
     silent = total = 0
     for machine in observation.partition.machines.values():
         if machine.releasing or machine.state is MachineState.RELEASED:
             continue
         total += 1
         if machine.state is MachineState.UNCONFIRMED:
-            # Workers need a while to find a new owner. All count together: one machine that sent a heartbeat once must
-            # not stand for a zone from which none has come since.
+            # Workers take up to FIND_OWNER_S to find a new owner. Unconfirmed machines are counted with the others:
+            # otherwise a single machine that sent one heartbeat would represent a zone that sends none.
             silent += observation.unconfirmed_s(machine) > limit_s + FIND_OWNER_S
         else:
             silent += observation.silence_s(machine) > limit_s
@@ -83,22 +88,23 @@
 
 
 def silent_machines(observation: SilenceObservation, limits: SilenceLimits, mostly_silent: bool) -> list[Machine]:
-    """Machines that are silent or whose responses are lost: their release is the fastest proof that no task runs there.
+    """Returns machines to release because they are silent or receive no heartbeat responses.
 
-    While this controller may be cut off itself, only machines without a valid lease are released: those are no loss in
-    any case.
+    Their release is the fastest proof that they run no task. While this controller may be partitioned from the workers,
+    only machines without a valid lease are returned, whose release loses no work.
     """
     found = [machine for machine in observation.partition.machines.values() if _is_silent(machine, observation, limits)]
-    if mostly_silent or _may_be_cut_off(observation):
+    if mostly_silent or _may_be_isolated(observation):
         return [machine for machine in found if machine.state is not MachineState.ACTIVE]
     return found
 
 
-def _may_be_cut_off(observation: SilenceObservation) -> bool:
-    """Whether so many heartbeats are late that this controller may be cut off, before that is certain.
+def _may_be_isolated(observation: SilenceObservation) -> bool:
+    """Whether so many heartbeats are late that this controller may be partitioned from the workers.
 
-    When a controller is cut off, the first machines pass the limit for a single machine before half of them pass the
-    limit for most: a quarter of a healthy zone was once released in that second.
+    When a controller loses contact with its workers, the first machines exceed the limit for a single machine before
+    half of them exceed the limit of `is_mostly_silent`. Without this check, a quarter of a healthy zone was released in
+    the second between.
     """
     limit_s = LATE_HEARTBEATS * observation.workers.heartbeat_interval_s
     active = [
