--- a/spurarch/coordination/fleet/job_ranking.py
+++ b/spurarch/coordination/fleet/job_ranking.py
@@ -43,9 +43,9 @@
         """Seconds added to a job's deadline in the rank, proportional to its CPU seconds that have yet to start.
 
         Under overload, earliest deadline first makes nearly all jobs miss their deadlines by a little, since each job
-        starts only when its deadline is close. The delay favors small jobs, as in shortest job first: a few large jobs
-        miss their deadlines instead of many jobs. A job of mean size is delayed by `size_weight` times the mean time
-        between submission and deadline.
+        starts only when it is too late to meet its deadline. The delay favors small jobs, as in shortest job first: a
+        few large jobs miss their deadlines instead of many jobs. A job of mean size is delayed by `size_weight` times
+        the mean time between submission and deadline.
         """
         if self._allowance_per_cpu_second is None:
             self._allowance_per_cpu_second = self._compute_allowance()
