--- a/spurarch/storage/__init__.py
+++ b/spurarch/storage/__init__.py
@@ -1,1 +1,1 @@
-"""State that outlives a process: records in the state service, the copy of them here, and clients with rate limits."""
+"""Persistent state: records in the state service, their local copy, and rate-limited clients of external services."""
--- a/spurarch/storage/errors.py
+++ b/spurarch/storage/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the state service's client."""
+"""Errors raised by the client of the state service."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StoreUnavailableError(SpurarchError):
-    """The state service did not serve a call; it may be tried again later."""
+    """A call to the state service failed; it may be retried later. The `recovery` commands print the message."""
 
 
 class RevisionTooOldError(SpurarchError):
-    """A watch asked for changes that the state service has compacted: all records have to be read again."""
+    """A watch starts at a revision that the state service has compacted: all records have to be read again."""
 
 
 class HistoryClosedError(StoreUnavailableError):
-    """The records may not be read or written, because their history is not known to be open."""
+    """The call was rejected because the history of the records is not open, or not yet known to be open."""
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -1,4 +1,4 @@
-"""Client of the state service: one method for each call, with a timeout, within the published rates."""
+"""Rate-limited client of the state service: one method for each call, with a timeout."""
 
 from __future__ import annotations
 
@@ -22,62 +22,66 @@
 
 log = logging.getLogger(__name__)
 
-CALL_S = 1.5
-PAGE_KEYS = 1000
+CALL_TIMEOUT_S = 1.5  # without the time that the service may wait for changes
+KEYS_PER_PAGE = 1000
 
 
 @dataclass(slots=True)
 class _KeyRead:
-    """The value of a key and the revision of its last change; if the key does not exist, the service's revision."""
+    """Result of reading one key.
+
+    `item` is None if the key does not exist. `revision` is that of the key's last change. For a missing key, it is the
+    service's current revision, or 0 without a `HistoryGuard`.
+    """
 
     item: wire.Item | None
     revision: int
 
 
 class Store:
-    """The state service, as one controller sees it.
+    """Client of the state service.
 
-    With a `HistoryGuard`, every read and transaction is checked for signs that the service's data was lost, and keys
-    are translated to those of the history in force. Without one, calls are passed on as they are.
+    With a `HistoryGuard`, every read and transaction is checked for signs that the service lost data, and keys are
+    translated to those of the current history. Without one, calls are sent unchanged.
     """
 
     def __init__(
         self, client: Requests, limits: StateLimits, controllers: int, history: HistoryGuard | None = None
     ) -> None:
         self._client = client
-        self.history = history  # only where lost data is to be noticed and rebuilt
+        self.history = history  # None if recovery is disabled
         self.rates = StoreRates(limits, controllers)
 
     @property
     def trusted(self) -> bool:
-        """Whether there is no sign that the service's data was lost."""
+        """Whether the records can be trusted: the history is open, or recovery is disabled."""
         return self.history is None or self.history.is_open
 
     @property
     def reserved_guards(self) -> int:
-        """Number of conditions that are added to every transaction here."""
+        """Number of guards that this client adds to every transaction."""
         return 0 if self.history is None else 1
 
     async def _call(
         self, method: str, target: str, body: bytes | None, wait_s: float = 0.0, urgency: Urgency = Urgency.STARTS
     ) -> tuple[int, bytes]:
         await self.rates.wait_for_request(urgency)
-        status, answer = await self._client.request(method, target, body, CALL_S + wait_s)
+        status, response_body = await self._client.request(method, target, body, CALL_TIMEOUT_S + wait_s)
         if status == 429:
             self.rates.record_throttled(transaction=target == wire.PATH_TXN)
-        return status, answer
+        return status, response_body
 
     async def _read(self, target: str, wait_s: float = 0.0) -> tuple[int, bytes]:
         try:
-            status, answer = await self._call("GET", target, None, wait_s)
+            status, response_body = await self._call("GET", target, None, wait_s)
         except NoAnswerError as err:
             raise StoreUnavailableError(str(err)) from None
         if status in (429, 503):
             raise StoreUnavailableError(str(status))
-        return status, answer
+        return status, response_body
 
     async def get(self, key: str) -> wire.Item | None:
-        """Reads one key; None if it does not exist. Raises `StoreUnavailableError`."""
+        """Reads one key; returns None if it does not exist. Raises `StoreUnavailableError`."""
         history = self.history
         if history is None:
             return (await self._get(key)).item
@@ -86,22 +90,22 @@
         if found.item is not None:
             found.item.key = key
             return found.item
-        # A user may be told for good that the key does not exist: the history has to be in force at this moment.
+        # A user may get the final response that the job does not exist, so the history has to be verified as open now.
         history.check_revision(before, found.revision, time.monotonic())
         await self._verify(history)
         return None
 
     async def _get(self, key: str) -> _KeyRead:
-        status, answer = await self._read(f"{wire.PATH_KV}/{key}")
+        status, response_body = await self._read(f"{wire.PATH_KV}/{key}")
         if status == 404:
-            return _KeyRead(None, _decode(wire.txn_decoder, answer).revision if self.history is not None else 0)
+            return _KeyRead(None, _decode(wire.txn_decoder, response_body).revision if self.history is not None else 0)
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
-        item = _decode(wire.item_decoder, answer)
+        item = _decode(wire.item_decoder, response_body)
         return _KeyRead(item, item.version)
 
     async def page(self, prefix: str, after: str | None) -> wire.Page:
-        """Reads a page of the keys with a prefix, from the one that follows `after`. Raises `StoreUnavailableError`."""
+        """Reads one page of the keys with a prefix, those after the key `after`. Raises `StoreUnavailableError`."""
         history = self.history
         if history is None:
             return await self._page(prefix, after)
@@ -114,13 +118,15 @@
         return page
 
     async def _page(self, prefix: str, after: str | None) -> wire.Page:
-        status, answer = await self._read(f"{wire.PATH_KV}?{wire.query(prefix=prefix, after=after, limit=PAGE_KEYS)}")
+        status, response_body = await self._read(
+            f"{wire.PATH_KV}?{wire.query(prefix=prefix, after=after, limit=KEYS_PER_PAGE)}"
+        )
         if status != 200:
             raise StoreUnavailableError(f"status {status}")
-        return _decode(wire.page_decoder, answer)
+        return _decode(wire.page_decoder, response_body)
 
     async def watch(self, after: int, wait_ms: int) -> wire.Changes:
-        """Reads every change after a revision, waiting up to `wait_ms` milliseconds for the first.
+        """Reads all changes after a revision, waiting up to `wait_ms` milliseconds for the first one.
 
         Raises `RevisionTooOldError` or `StoreUnavailableError`.
         """
@@ -136,27 +142,30 @@
 
     async def _watch(self, after: int, wait_ms: int) -> wire.Changes:
         target = f"{wire.PATH_WATCH}?{wire.query(prefix='', after=after, wait_ms=wait_ms)}"
-        status, answer = await self._read(target, wait_ms / 1000)
+        status, response_body = await self._read(target, wait_ms / 1000)
         if status == 410:
             raise RevisionTooOldError
         if status != 200:
-            raise StoreUnavailableError(f"status {status}")
-        return _decode(wire.changes_decoder, answer)
+            raise StoreUnavailableError(f"the state service responded to a watch with status {status}")
+        return _decode(wire.changes_decoder, response_body)
 
     async def _begin_read(self, history: HistoryGuard) -> int:
-        """The highest revision seen before the read; the history's marker is verified first if that is due."""
+        """Returns the highest revision seen before the read, and verifies the history's marker if that is due.
+
+        Raises `StoreUnavailableError`.
+        """
         before = history.check_open()
         if history.needs_verification(time.monotonic()):
             await self._verify(history)
         return before
 
     async def _verify(self, history: HistoryGuard) -> None:
-        """Reads the marker of the history and checks that it is the one in force."""
+        """Reads the history's marker and checks that it is unchanged, so the history is still open."""
         marker = await self._get(history.marker)
         history.check_marker(marker.revision if marker.item is not None else 0, time.monotonic())
 
     async def txn(self, txn: wire.Txn, urgency: Urgency = Urgency.STARTS) -> TransactionResult:
-        """Runs a transaction once; never raises `StoreUnavailableError`."""
+        """Sends a transaction once; the result covers every failure, `StoreUnavailableError` is never raised."""
         history = self.history
         if history is None:
             return await self._txn(txn, urgency)
@@ -173,26 +182,29 @@
 
     async def _txn(self, txn: wire.Txn, urgency: Urgency) -> TransactionResult:
         await self.rates.wait_for_writes(len(txn.then), urgency)
-        # A transaction that got past the rate of changes goes before reads, which are many and can wait.
+        # A transaction that has passed the limit on changes takes precedence over reads, which are many and can wait.
         urgency = Urgency.MEMBERSHIP if urgency is Urgency.MEMBERSHIP else Urgency.USERS
         try:
-            status, answer = await self._call("POST", wire.PATH_TXN, wire.encode(txn), urgency=urgency)
+            status, response_body = await self._call("POST", wire.PATH_TXN, wire.encode(txn), urgency=urgency)
         except NoAnswerError as err:
             return TransactionResult(TransactionStatus.UNKNOWN if err.sent else TransactionStatus.NOT_EXECUTED)
-        return _transaction_result(status, answer)
+        return _transaction_result(status, response_body)
 
     async def grant(self, ttl_s: float) -> int | None:
-        """Obtains a lease of `ttl_s` seconds; None if that failed."""
+        """Creates a lease that expires after `ttl_s` seconds; returns its id, or None if that failed.
+
+        Raises `StoreUnavailableError` if the response can't be decoded.
+        """
         try:
-            status, answer = await self._call(
+            status, response_body = await self._call(
                 "POST", wire.PATH_GRANTS, wire.encode(wire.GrantRequest(int(ttl_s * 1000))), urgency=Urgency.MEMBERSHIP
             )
         except NoAnswerError:
             return None
-        return _decode(wire.grant_decoder, answer).lease if status == 200 else None
+        return _decode(wire.grant_decoder, response_body).lease if status == 200 else None
 
     async def extend(self, lease: int) -> bool | None:
-        """Renews a lease: True, False if it has expired, None if the outcome is not known."""
+        """Renews a lease; returns True if it was renewed, False if it has expired, None if the outcome is unknown."""
         target = f"{wire.PATH_GRANTS}/{lease}/{wire.PATH_EXTEND}"
         try:
             status, _ = await self._call("POST", target, b"{}", urgency=Urgency.MEMBERSHIP)
@@ -201,25 +213,25 @@
         return True if status == 200 else False if status == 404 else None
 
 
-def _decode(decoder: msgspec.json.Decoder[wire.T], answer: bytes) -> wire.T:
+def _decode(decoder: msgspec.json.Decoder[wire.T], response_body: bytes) -> wire.T:
     try:
-        return decoder.decode(answer)
+        return decoder.decode(response_body)
     except msgspec.DecodeError as err:
         raise StoreUnavailableError(f"unreadable answer: {err}") from None
 
 
-def _transaction_result(status: int, answer: bytes) -> TransactionResult:
+def _transaction_result(status: int, response_body: bytes) -> TransactionResult:
     try:
         if status == 200:
-            return TransactionResult(TransactionStatus.COMMITTED, wire.txn_decoder.decode(answer).revision)
+            return TransactionResult(TransactionStatus.COMMITTED, wire.txn_decoder.decode(response_body).revision)
         if status == 409:
-            body = wire.txn_decoder.decode(answer)
+            body = wire.txn_decoder.decode(response_body)
             return TransactionResult(TransactionStatus.CONFLICT, body.revision, body.failed)
     except msgspec.DecodeError:
         return TransactionResult(TransactionStatus.UNKNOWN)
     if status in (429, 503):
         return TransactionResult(TransactionStatus.NOT_EXECUTED)
-    if status == 400 and b"lease" in answer:
+    if status == 400 and b"lease" in response_body:
         return TransactionResult(TransactionStatus.NO_LEASE)
-    log.error("state service refused transaction status=%d error=%s", status, answer[:200])
+    log.error("state service refused transaction status=%d error=%s", status, response_body[:200])
     return TransactionResult(TransactionStatus.INVALID)
