--- a/spurarch/storage/cluster_state.py
+++ b/spurarch/storage/cluster_state.py
@@ -1,7 +1,7 @@
-"""The records of the cluster in memory, indexed the ways in which they are asked for.
+"""The in-memory copy of the cluster's records, with indexes for the lookups that controllers need.
 
-Every change carries the revision of the state service at which it was made. A change that is not newer than what is
-known is ignored, so changes may arrive from several watches and from own transactions in any order.
+Every change carries the state service's revision at which it was made. A change that is not newer than the copy of its
+key is ignored, so changes may arrive in any order from several watches and from this controller's transactions.
 """
 
 from __future__ import annotations
@@ -34,43 +34,43 @@
 
 log = logging.getLogger(__name__)
 
-FINALS_KEPT = 20_000
+MAX_FINAL_RECORDS = 20_000  # of the newest terminal jobs
 
 
 @dataclass(slots=True)
 class VersionedRecord:
-    """A record and the revision of its last change."""
+    """A record and the state service's revision of its last change."""
 
     version: int
     record: Record
 
 
 class ClusterState:
-    """The records at `revision`, with indexes. Does no I/O, except for logging."""
+    """The records at `revision`, with indexes. Performs no I/O except logging."""
 
     def __init__(self) -> None:
         self.entries: dict[str, VersionedRecord] = {}
         self.jobs: dict[str, JobRecord] = {}
         self.admissions: dict[str, AdmissionRecord] = {}
-        self.allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)  # by job
+        self.allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)  # by job id
         self.zone_allocations: dict[str, dict[AllocationKey, AllocationRecord]] = defaultdict(dict)
         self.partitions: dict[str, PartitionRecord] = {}
         self.members: dict[str, MemberRecord] = {}
         self.machines: dict[str, dict[str, MachineRecord]] = defaultdict(dict)  # by zone
         self.leader: LeaderRecord | None = None
-        self.gangs = 0  # jobs whose tasks start together
-        self.finals: OrderedDict[str, FinalRecord] = OrderedDict()
+        self.gangs = 0  # number of jobs that are gangs
+        self.finals: OrderedDict[str, FinalRecord] = OrderedDict()  # by job id, oldest first
         self.revision = 0
-        self.consistent_from = 0.0  # the revision from which on this is what the service held at one moment
-        self.unreadable: dict[str, str | None] = {}  # by key; of jobs, the team if that much can be told
-        self.seeds: Seeds | None = None  # shared values that were not unpacked yet; only in a rebuilt history
-        self._deleted: dict[str, int] = {}  # by key, the revision of a deletion that is newer than `revision`
+        self.consistent_from = 0.0  # lowest `revision` at which all records here are of one revision
+        self.unreadable: dict[str, str | None] = {}  # by key; for jobs, the team if it can be decoded
+        self.seeds: Seeds | None = None  # shared values not yet unpacked; only in a seeded history
+        self._deleted_revisions: dict[str, int] = {}  # by key, the revision of a deletion newer than `revision`
         self._subscribers: list[dict[str, None]] = []
 
     def subscribe(self) -> dict[str, None]:
-        """Returns a mapping that collects the keys that change, in order, for the subscriber to empty.
+        """Returns a mapping that collects the changed keys in order; the subscriber clears it.
 
-        It begins with all keys. The order is kept so that equal changes lead to equal decisions.
+        It initially holds all keys. The order is preserved so that the same changes lead to the same decisions.
         """
         changed_keys: dict[str, None] = dict.fromkeys(self.entries)
         self._subscribers.append(changed_keys)
@@ -78,21 +78,21 @@
 
     @property
     def consistent(self) -> bool:
-        """Whether all records are of one revision, and not of pages that were read one after the other."""
+        """Whether all records are of one revision; those read page by page are, once the watch has caught up."""
         return self.revision >= self.consistent_from
 
     def version(self, key: str) -> int:
-        """The revision of a key's last change; 0 if it does not exist."""
+        """Returns the revision of a key's last change; 0 if the key does not exist."""
         entry = self.entries.get(key)
         return entry.version if entry else 0
 
     def put(self, key: str, version: int, record: Record) -> None:
-        """Adds or replaces a record unless a newer change of its key is known."""
-        if version <= self.version(key) or version <= self._deleted.get(key, 0):
+        """Adds or replaces a record unless a change of its key at this or a later revision was applied."""
+        if version <= self.version(key) or version <= self._deleted_revisions.get(key, 0):
             return
         if isinstance(record, FinalRecord):
             self.finals[key[len(records.FINAL) :]] = record
-            while len(self.finals) > FINALS_KEPT:
+            while len(self.finals) > MAX_FINAL_RECORDS:
                 self.finals.popitem(last=False)
             return
         self.unreadable.pop(key, None)
@@ -101,7 +101,7 @@
         self._mark_changed(key)
 
     def put_encoded(self, key: str, version: int, value: msgspec.Raw) -> None:
-        """Decodes a value and puts its record; one that can't be decoded is kept in `unreadable` and logged once."""
+        """Decodes a value and puts its record; if that fails, logs it once and adds the key to `unreadable`."""
         try:
             record = records.decode(key, value)
         except msgspec.DecodeError as err:
@@ -112,7 +112,7 @@
             self.put(key, version, record)
 
     def _record_unreadable(self, key: str, team: str | None) -> bool:
-        """Records that the value of a key can't be decoded; True if that was not known."""
+        """Adds a key to `unreadable`; returns whether it was not there before."""
         new = key not in self.unreadable
         self.unreadable[key] = team
         if new:
@@ -128,18 +128,19 @@
         if entry is not None and entry.version > version:
             return
         if version > self.revision:
-            # A watch may deliver an older change of the key after the deletion by our own transaction.
-            self._deleted[key] = version
+            # A watch may deliver an older change of the key after this controller's transaction deleted it.
+            self._deleted_revisions[key] = version
         if entry is not None:
             del self.entries[key]
             self._unindex(key, entry.record)
             self._mark_changed(key)
 
     def apply_commit(self, writes: list[Write], revision: int) -> None:
-        """Applies a transaction of this controller that was committed at a revision.
+        """Applies the writes of a transaction of this controller that was committed at `revision`.
 
-        A watch may have delivered it already, together with later changes of the same keys. Applying it again would
-        restore a key that another controller has deleted since, and every later transaction on that key would fail.
+        Does nothing if a watch has already delivered the transaction, possibly with later changes of the same keys.
+        Applying it again could restore a key that another controller has since deleted, and every later transaction
+        that writes or guards this key would fail.
         """
         if revision <= self.revision:
             return
@@ -150,10 +151,10 @@
                 self.put(write.key, revision, write.record)
 
     def advance(self, revision: int) -> None:
-        """Records that all changes up to a revision were applied."""
+        """Sets `revision` after all changes up to it were applied; never lowers it."""
         self.revision = max(self.revision, revision)
-        if self._deleted:
-            self._deleted = {k: v for k, v in self._deleted.items() if v > self.revision}
+        if self._deleted_revisions:
+            self._deleted_revisions = {k: v for k, v in self._deleted_revisions.items() if v > self.revision}
 
     def _mark_changed(self, key: str) -> None:
         for changed_keys in self._subscribers:
@@ -187,9 +188,9 @@
             self.admissions.pop(key[len(records.ADMISSION) :], None)
         elif isinstance(record, AllocationRecord):
             allocation = AllocationKey.parse(key)
-            of_job = self.allocations[allocation.job]
-            of_job.pop(allocation, None)
-            if not of_job:
+            job_allocations = self.allocations[allocation.job]
+            job_allocations.pop(allocation, None)
+            if not job_allocations:
                 del self.allocations[allocation.job]
             self.zone_allocations[allocation.zone].pop(allocation, None)
         elif isinstance(record, PartitionRecord):
--- a/spurarch/storage/commit.py
+++ b/spurarch/storage/commit.py
@@ -1,4 +1,4 @@
-"""Commits changes of records, each on condition that the keys are as this controller knows them."""
+"""Commits changes of records by compare-and-swap against the versions in the local copy."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     from spurarch.storage.history import HistoryGuard
     from spurarch.storage.seeds import PackedSeed
 
-RETRY_UNKNOWN_S = 0.1  # after an outcome that is not known
-RETRY_REFUSED_S = 0.3  # after a refusal that followed one
+RETRY_UNKNOWN_S = 0.1  # after an attempt whose outcome is unknown
+RETRY_REFUSED_S = 0.3  # after the service refused to execute a retry of such an attempt
 
 
 class Committer:
-    """Runs transactions and applies those that succeed to the copy of the records.
+    """Runs transactions and applies those that commit to the local copy of the records.
 
-    `sync` brings the copy up to date, False if that failed; `notify` wakes those who wait for changes.
+    `sync` brings the copy up to date and returns whether it succeeded; `notify` wakes the listeners to changes.
     """
 
     def __init__(
@@ -44,20 +44,20 @@
         writes: list[Write],
         guards: Iterable[str],
         absent: Iterable[str],
-        give_up_s: float | None,
+        timeout_s: float | None,
         urgency: Urgency,
         pinned: dict[str, int] | None,
     ) -> TransactionResult:
-        """Commits writes as described for `Replica.commit`."""
+        """Commits writes; see `Replica.commit`."""
         guards = list(guards)
-        refusal = await self._unpack_seeds([*guards, *(write.key for write in writes)], urgency)
-        if refusal is not None:
-            return refusal
+        failure = await self._unpack_seeds([*guards, *(write.key for write in writes)], urgency)
+        if failure is not None:
+            return failure
         versions = {key: self._state.version(key) for key in guards}
         versions.update((write.key, self._state.version(write.key)) for write in writes)
         versions.update((key, 0) for key in absent)
         versions.update(pinned or {})
-        result = await self._run(_transaction(versions, writes), give_up_s, urgency)
+        result = await self._run(_transaction(versions, writes), timeout_s, urgency)
         if result.status is TransactionStatus.COMMITTED:
             self._state.apply_commit(writes, result.revision)
             await self._notify()
@@ -66,8 +66,8 @@
                 self._check_conflict(self._store.history, versions, result.failed_keys)
         return result
 
-    async def _run(self, txn: wire.Txn, give_up_s: float | None, urgency: Urgency) -> TransactionResult:
-        """Sends a transaction until its outcome is known, or until `give_up_s` has passed."""
+    async def _run(self, txn: wire.Txn, timeout_s: float | None, urgency: Urgency) -> TransactionResult:
+        """Sends a transaction, again while its outcome is unknown; returns UNKNOWN after `timeout_s` seconds."""
         started = time.monotonic()
         outcome_unknown = False
         while True:
@@ -78,12 +78,12 @@
                 outcome_unknown = True
             elif not outcome_unknown:
                 return result
-            if give_up_s is not None and time.monotonic() - started > give_up_s:
+            if timeout_s is not None and time.monotonic() - started > timeout_s:
                 return TransactionResult(TransactionStatus.UNKNOWN)
             await curio.sleep(RETRY_UNKNOWN_S if result.status is TransactionStatus.UNKNOWN else RETRY_REFUSED_S)
 
     async def _unpack_seeds(self, keys: list[str], urgency: Urgency) -> TransactionResult | None:
-        """Unpacks the shared values that hold any of these keys; the result that stopped it, or None."""
+        """Unpacks the shared values that hold any of these keys; returns the result that was no commit, or None."""
         if self._state.seeds is None:
             return None
         for packed in self._state.seeds.holding(keys):
@@ -93,11 +93,14 @@
         return None
 
     async def _unpack(self, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
-        """Writes the records of a shared value under their own keys; none of them can have changed meanwhile."""
+        """Writes the records of a shared value under their own keys and deletes the value.
+
+        The guards fail if another controller has unpacked the value since it was read. So no newer record is replaced.
+        """
         assert self._state.seeds is not None
-        found = [record.key for record in packed.pack.records]
+        keys = [record.key for record in packed.pack.records]
         txn = wire.Txn(
-            [wire.Guard(packed.key, packed.version), *(wire.Guard(key, 0) for key in found)],
+            [wire.Guard(packed.key, packed.version), *(wire.Guard(key, 0) for key in keys)],
             [*(wire.Put(record.key, record.value) for record in packed.pack.records), wire.Delete(packed.key)],
         )
         result = await self._store.txn(txn, urgency)
@@ -106,11 +109,15 @@
             for record in packed.pack.records:
                 self._state.put_encoded(record.key, result.revision, record.value)
         elif result.status is not TransactionStatus.NOT_EXECUTED:
-            await self._sync()  # another controller has unpacked it, or this one without receiving the response
+            await self._sync()  # another controller may have unpacked it, or this one without receiving the response
         return result
 
     def _check_conflict(self, history: HistoryGuard, sent: dict[str, int], failed: list[str]) -> None:
-        """Reports lost records: a copy that is up to date has to show the change that made a condition fail."""
+        """Reports data loss if a guard failed although its record still has the guarded version in the local copy.
+
+        `sent` are the guarded versions by key, `failed` the keys whose guards failed. The copy was brought up to date
+        after the conflict, so without data loss it holds the change that made the guard fail.
+        """
         for key in failed:
             if key.startswith(records.LIVE) and sent.get(key, -1) == self._state.version(key):
                 history.lose(f"record {key} is not at {sent[key]}, and no change says why")
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -1,12 +1,12 @@
-"""Which history of the state service's data this controller works in, and the signs that the data was lost.
+"""The history of the state service's data that this controller works in, and detection of lost data.
 
-A *history* is everything that was written since the state service was last empty or rebuilt. Each has a random name,
-and all but the first keep their records under a key prefix of their own. A transaction of an earlier history that is
-executed late then changes nothing that anybody reads, even where revisions coincide. A marker `history/open/<name>`
-exists for as long as a history may be written to. Every transaction has it as a condition, so deleting the marker seals
-the history.
+A *history* is everything that was written since the state service was last empty or rebuilt. Each history has a random
+name, and all but the first keep their records under a key prefix of their own. A transaction of an earlier history that
+is executed late therefore changes no key that a controller still reads, even if revisions coincide. The marker key
+`history/open/<name>` exists while the history may be written to. Every transaction guards it, so deleting the marker
+seals the history.
 
-Where recovery is off, the client of the state service has no `HistoryGuard` and none of this is read or written.
+If recovery is disabled, the client of the state service has no `HistoryGuard`, and none of these keys is used.
 """
 
 from __future__ import annotations
@@ -29,24 +29,25 @@
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
 OPEN, REBUILD = "history/open/", "history/rebuild/"
 PACKED = "packed/"
-UNRESOLVED_PREFIX = "doubt/"  # unresolved outcomes, under a history's prefix; only operators read them
-UNARCHIVED = (MEMBER, LEADER)  # prefixes of records that are of no use later
-VERIFY_AFTER_S = 2.0  # without a read, the marker is read again before a response is trusted
+UNRESOLVED_PREFIX = "doubt/"  # unresolved job outcomes, under the history's prefix; read only by operators' commands
+UNARCHIVED = (MEMBER, LEADER)  # prefixes of records that are not archived: a later history has no use for them
+VERIFY_AFTER_S = 2.0  # after this time without a verified response, the marker is read again before the next read
 
 
 class HistoryRecord(Struct):
-    """The history that is in force.
+    """The current history.
 
     Attributes:
         name: Random name.
         number: 1 for the first history of an installation, one more for each that follows.
-        epoch: Above every partition epoch that an earlier history can have given.
-        packed: Number of records that hold the final states of jobs of earlier histories.
-        uncertain: Jobs may have been accepted that are not on record.
-        parent: Name of the history that this one was rebuilt from.
-        archived_answers: Users are told that a job is accepted, cancelled or terminal only once the archive holds it.
-        installation: The operators' name for the owner of these records.
-        seeded: The history began with records that share values.
+        epoch: Higher than any partition epoch that an earlier history can have assigned.
+        packed: Number of keys that hold the packed final states of jobs of earlier histories.
+        uncertain: Jobs that users were told are accepted may be missing from the records.
+        parent: Name of the history from which this one was rebuilt.
+        archived_answers: A job is reported to users as accepted, cancelled or terminal only after the archive holds
+            this state.
+        installation: Name that the operators gave to the owner of these records.
+        seeded: The history was opened with records that share values, see `spurarch.storage.seeds`.
     """
 
     name: str
@@ -61,18 +62,18 @@
 
     @property
     def prefix(self) -> str:
-        """Prefix of the keys of this history's records in the state service."""
+        """Prefix of this history's record keys in the state service; empty for the first history."""
         return "" if self.number == 1 else f"h{self.number}.{self.name}/"
 
 
 class OpenMarker(Struct):
-    """Exists while a history may be written to."""
+    """Value of the marker key, which exists while the history may be written to."""
 
     number: int
 
 
 class ArchivedRecord(Struct):
-    """Says that the archive holds all changes of a history up to a revision."""
+    """Progress of the archive: it holds all changes of the history `name` up to `revision`."""
 
     name: str
     revision: int
@@ -80,28 +81,28 @@
 
 
 class PackedFinals(Struct):
-    """Final states of jobs of an earlier history: by job id, the state and the number of tasks."""
+    """Final states of jobs of earlier histories: by job id, the state and the number of tasks."""
 
     jobs: dict[str, tuple[str, int]]
 
 
 class HistoryPhase(enum.Enum):
-    """Whether the records may be trusted."""
+    """Whether the records can be trusted."""
 
-    UNKNOWN = "unknown"  # just started
+    UNKNOWN = "unknown"  # at start, until a history is opened or found lost
     OPEN = "open"
-    LOST = "lost"  # the data was lost, or is being rebuilt
+    LOST = "lost"  # data of the state service was lost, or is being rebuilt
 
 
-_NEXT = {
+_TRANSITIONS = {
     HistoryPhase.UNKNOWN: {HistoryPhase.OPEN, HistoryPhase.LOST},
     HistoryPhase.OPEN: {HistoryPhase.LOST},
-    HistoryPhase.LOST: set(),  # a controller starts again in the history that follows
+    HistoryPhase.LOST: set(),  # final: the controller restarts in the next history
 }
 
 
-_LATER_PREFIX = re.compile(r"h[0-9]+\.[0-9a-f]+")  # of histories after the first
-_RECORDS = (LIVE, FINAL, PACKED, SEED, UNRESOLVED_PREFIX)
+_HISTORY_PREFIX = re.compile(r"h[0-9]+\.[0-9a-f]+")  # of all histories except the first, whose keys have no prefix
+_RECORD_PREFIXES = (LIVE, FINAL, PACKED, SEED, UNRESOLVED_PREFIX)
 
 _record_decoder = msgspec.json.Decoder(HistoryRecord)
 _archived_decoder = msgspec.json.Decoder(ArchivedRecord)
@@ -109,91 +110,91 @@
 
 
 def decode_history(raw: msgspec.Raw | bytes) -> HistoryRecord:
-    """Decodes the value of `CURRENT`; raises `msgspec.DecodeError`."""
+    """Decodes the value of `CURRENT`. Raises `msgspec.DecodeError`."""
     return _record_decoder.decode(raw)
 
 
 def decode_archived(raw: msgspec.Raw | bytes) -> ArchivedRecord:
-    """Decodes the value of `ARCHIVED`; raises `msgspec.DecodeError`."""
+    """Decodes the value of `ARCHIVED`. Raises `msgspec.DecodeError`."""
     return _archived_decoder.decode(raw)
 
 
 def decode_packed(raw: msgspec.Raw | bytes) -> PackedFinals:
-    """Decodes a record of packed final states; raises `msgspec.DecodeError`."""
+    """Decodes a value under `PACKED`. Raises `msgspec.DecodeError`."""
     return _packed_decoder.decode(raw)
 
 
 def is_record_key(key: str) -> bool:
-    """Whether a key is of some history's records; other programs may keep keys in the same service."""
+    """Returns whether a key belongs to a record of any history; other programs may use the same state service."""
     prefix, _, rest = key.partition("/")
-    if _LATER_PREFIX.fullmatch(prefix):
+    if _HISTORY_PREFIX.fullmatch(prefix):
         key = rest
-    return key.startswith(_RECORDS)
+    return key.startswith(_RECORD_PREFIXES)
 
 
 def packed_key(job: str, records: int) -> str:
-    """Key of the record that holds the final state of a job of an earlier history."""
+    """Returns the key that holds a job's packed final state, with `records` packed values in total."""
     return f"{PACKED}{zlib.crc32(job.encode()) % records}"
 
 
 class HistoryGuard:
-    """Fails closed on any sign that the state service's data was lost.
+    """Detects that the state service lost data, and blocks every access to the records from then on.
 
-    The service is strongly consistent, so a revision below one that was seen *before* the request was sent can only
-    mean that data was lost. A response that is merely delayed is compared with what was known when its request was
-    sent.
+    The service is strongly consistent. A response with a revision below one that was seen *before* its request was sent
+    therefore proves that data was lost. A delayed response is compared with the revision seen when its request was
+    sent, not when the response is processed.
     """
 
     def __init__(self) -> None:
         self.phase = HistoryPhase.UNKNOWN
         self.reason = "the history is not known yet"
         self.record = HistoryRecord("", 1)
-        self.highest = 0  # revision seen
-        self.recorded = 0  # newest revision seen that changed a record that is archived
-        self.archived = 0  # revision up to which the archive holds all changes
-        self.verified_at = float("-inf")  # monotonic clock; the marker was in force then
-        self._open_version = 0  # revision of the marker
+        self.highest = 0  # highest revision seen in a response
+        self.recorded = 0  # highest revision seen of a change that the archive has to hold
+        self.archived = 0  # revision up to which the archive has reported to hold all changes
+        self.verified_at = float("-inf")  # when the history was last verified to be open, by the monotonic clock
+        self._marker_version = 0  # revision at which the marker was written
 
     def advance(self, phase: HistoryPhase, reason: str) -> bool:
-        """Changes the phase if that transition is allowed; False if it is not."""
-        if phase not in _NEXT[self.phase]:
+        """Changes the phase; returns False if the transition is not allowed."""
+        if phase not in _TRANSITIONS[self.phase]:
             return False
         self.phase, self.reason = phase, reason
         return True
 
-    def open(self, record: HistoryRecord, open_version: int, revision: int, now: float) -> bool:
-        """Opens the history whose marker was read; False if this controller has another one already."""
+    def open(self, record: HistoryRecord, marker_version: int, revision: int, now: float) -> bool:
+        """Opens a history whose marker was read at `now`; returns False if one was already opened or marked as lost."""
         if not self.advance(HistoryPhase.OPEN, "open"):
             return False
-        self.record, self._open_version = record, open_version
+        self.record, self._marker_version = record, marker_version
         self.highest = max(self.highest, revision)
         self.verified_at = now
         return True
 
     def lose(self, reason: str) -> bool:
-        """Records a sign of loss; True if it is the first."""
+        """Marks the history as lost; returns False if it was marked before."""
         return self.advance(HistoryPhase.LOST, reason)
 
     @property
     def is_open(self) -> bool:
-        """Whether the records may be trusted."""
+        """Whether a history is open, so the records can be trusted."""
         return self.phase is HistoryPhase.OPEN
 
     @property
     def marker(self) -> str:
-        """Key that exists while this history is open."""
+        """Key of this history's marker."""
         return OPEN + self.record.name
 
     def check_open(self) -> int:
-        """The highest revision seen so far, for `check_revision`; raises `HistoryClosedError` unless open."""
+        """Returns the highest revision seen, for `check_revision`. Raises `HistoryClosedError` unless open."""
         if self.phase is not HistoryPhase.OPEN:
             raise HistoryClosedError(self.reason)
         return self.highest
 
     def check_revision(self, before: int, revision: int, now: float) -> None:
-        """Checks the revision of a response; `before` is what `check_open` returned before the request.
+        """Checks the revision of a response; `before` is the result of `check_open` before the request was sent.
 
-        Raises `HistoryClosedError`.
+        Marks the history as lost if the revision is lower. Raises `HistoryClosedError` unless the history is open.
         """
         if revision < before:
             self.lose(f"revision {revision} after {before}")
@@ -202,23 +203,29 @@
         self.verified_at = now
 
     def check_marker(self, version: int, now: float) -> None:
-        """Checks the revision of the marker that was read, 0 if there is none. Raises `HistoryClosedError`."""
-        if version != self._open_version:
-            self.lose(f"marker of history {self.record.name} at {version}, not {self._open_version}")
+        """Checks the revision `version` of the marker that was read, 0 if there is none.
+
+        Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless it is open.
+        """
+        if version != self._marker_version:
+            self.lose(f"marker of history {self.record.name} at {version}, not {self._marker_version}")
         self.check_open()
         self.verified_at = now
 
     def record_change(self, keys: Iterable[str], revision: int) -> None:
-        """Remembers the revision of a change if the archive will hold any of the keys."""
+        """Updates `recorded` with the revision of a change, if any of the changed keys is archived."""
         if revision > self.recorded and any(not key.startswith(UNARCHIVED) for key in keys):
             self.recorded = revision
 
     def needs_verification(self, now: float) -> bool:
-        """Whether nothing was read for so long that another history may have begun and have a higher revision."""
+        """Returns whether the marker has to be read again before a response can be trusted.
+
+        In `VERIFY_AFTER_S` without a checked response, a new history may have begun and reached a higher revision.
+        """
         return now - self.verified_at > VERIFY_AFTER_S
 
     def guarded_transaction(self, txn: wire.Txn) -> wire.Txn:
-        """Translates a transaction to this history's keys and adds the condition that the history is open."""
+        """Translates a transaction to the state service's keys and adds a guard on the marker."""
         guards = [wire.Guard(self.physical(guard.key), guard.version) for guard in txn.guards]
         changes: list[wire.Put | wire.Delete] = []
         for change in txn.then:
@@ -226,10 +233,13 @@
                 changes.append(wire.Put(self.physical(change.key), change.value, change.lease))
             else:
                 changes.append(wire.Delete(self.physical(change.key)))
-        return wire.Txn([*guards, wire.Guard(self.marker, self._open_version)], changes)
+        return wire.Txn([*guards, wire.Guard(self.marker, self._marker_version)], changes)
 
     def check_result(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
-        """Checks the result of a transaction; once there is a sign of loss, a commit is not confirmed any more."""
+        """Checks the result of a transaction and translates its failed keys.
+
+        If the history is lost, returns UNKNOWN instead of a commit, since the committed changes may be lost.
+        """
         if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
             self.lose(f"history {self.record.name} was sealed")
         if result.status not in (TransactionStatus.COMMITTED, TransactionStatus.CONFLICT):
@@ -247,20 +257,20 @@
         return TransactionResult(result.status, result.revision, failed)
 
     def physical(self, key: str) -> str:
-        """Returns the key in the state service of a record's key."""
+        """Returns the state service's key of a record, given the record's key without the history's prefix."""
         return self.record.prefix + key
 
     def logical(self, key: str) -> str | None:
-        """Returns the record's key of a key in the state service; None if it is not one of this history's."""
+        """Returns a record's key without the history's prefix; None if the key does not belong to this history."""
         prefix = self.record.prefix
         if not key.startswith(prefix) or key.startswith(HISTORY):
             return None
         return key[len(prefix) :]
 
     def process_event(self, event: wire.Event) -> wire.Event | None:
-        """Translates a change from a watch to this history's keys; None if it is not of one of its records.
+        """Translates the key of a change from a watch; returns None if the change is not of this history's records.
 
-        Changes that are a sign of loss are noticed here.
+        Marks the history as lost if the change is a sign of lost data.
         """
         key = event.put or event.delete or ""
         if key.startswith(HISTORY):
@@ -277,10 +287,11 @@
         return wire.Event(event.version, None, logical)
 
     def _check_foreign_write(self, key: str) -> None:
-        """A write outside the history in force is a sign of loss, except by a controller without recovery that joins.
+        """Marks the history as lost if a record of another history was written.
 
-        Data that was reset to an earlier history may have a *higher* revision, since each history counts from its own
-        start. The changes after the revision known here are then of that history.
+        After a reset to an earlier history the service may be at a *higher* revision than the one known here, since
+        revisions are not continued across histories. Only the changes that follow then show the reset. Member and
+        leader records are ignored: a controller that starts without recovery writes them without a prefix.
         """
         if is_record_key(key) and not key.startswith(UNARCHIVED):
             self.lose(f"{key} was written outside history {self.record.name}")
@@ -302,4 +313,4 @@
             return
         current = decode_history(event.value)
         if current.name == self.record.name:
-            self.record = current  # an operator has declared that no job is missing
+            self.record = current  # an operator has cleared `uncertain`
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -1,7 +1,7 @@
-"""The records in the state service: their keys and the type of the value under each.
+"""The records in the state service: their keys and the types of their values.
 
-Records that are in use are under `live/`. A terminal job leaves one small record under `final/`, so a controller that
-starts reads the records in use and nothing else.
+Records in use are stored under `live/`. A terminal job leaves only one small record under `final/`, so a starting
+controller has to read the records in use and nothing else.
 
 Some fields are stored under an older name, given by `field(name=...)`.
 """
@@ -24,28 +24,28 @@
 
 
 class TaskState(enum.IntEnum):
-    """State of an admitted task, with the number that is stored."""
+    """State of an admitted task; the numbers are stored."""
 
-    FREE = 0  # waits for a machine
-    ASSIGNED = 1  # has a machine
+    FREE = 0  # not assigned to a machine yet
+    ASSIGNED = 1  # assigned to a machine
     ENDED = 2
-    RETURNED = 3  # left to the leader by its partition, to be allocated to another
+    RETURNED = 3  # returned to the leader by the partition owner, to be allocated to another partition
 
 
-# Bound once: a member of an enum takes several times as long to look up, and decisions compare millions of them.
+# Module-level aliases: looking up an enum member takes several times as long, and decisions compare millions of them.
 FREE, ASSIGNED, ENDED, RETURNED = TaskState
 
-UNRESOLVED = "in doubt"  # state of a final record: an operator has to decide how the job ended
+UNRESOLVED = "in doubt"  # state of a final record whose job ended in an unknown way, for an operator to resolve
 
-GANG_VERSION = 1  # the first version that starts gangs as a whole
-PROGRAM_VERSION = GANG_VERSION  # written into this process's member record
+GANG_VERSION = 1  # first version that starts all tasks of a gang together
+PROGRAM_VERSION = GANG_VERSION  # version that this process writes to its member record
 
 
 class JobRecord(Struct):
     """A job that is not terminal.
 
-    `submitted_at` is the wall clock in seconds of its submission and only orders jobs. `cancelled_at` is that of its
-    cancellation: a partition owner that learns of it late computes from it what is left of `cancel_s`.
+    `submitted_at` and `cancelled_at` are wall-clock times in seconds. `submitted_at` only orders jobs. From
+    `cancelled_at`, a partition owner that receives the cancellation late computes what is left of `cancel_s`.
     """
 
     spec: Submission
@@ -55,9 +55,10 @@
 
 
 class AdmissionRecord(Struct, array_like=True):
-    """How many tasks of a job were admitted, and in how many allocations.
+    """Number of a job's tasks that were admitted (`next`), and of the allocations made for them (`chunks`).
 
-    Every admission writes it, so two concurrent admissions can never both succeed, however late one is executed.
+    Every admission guards this record, and writes it unless it admits the whole job at once. So two concurrent
+    admissions can never both commit, however late one is executed.
     """
 
     next: int
@@ -65,23 +66,23 @@
 
 
 class TaskEntry(Struct, array_like=True):
-    """One admitted task. `attempt` counts its starts; `incarnation` is that of the machine's worker."""
+    """One admitted task: `attempt` counts its starts, `incarnation` identifies the process of the machine's worker."""
 
     index: int
-    state: int = FREE  # a number of `TaskState`; one that a later version writes stays readable
+    state: int = FREE  # of `TaskState`; an int, so that states of later versions can be decoded
     attempt: int = 0
     machine: str = ""
     incarnation: int = 0
 
 
 class AllocationRecord(Struct, array_like=True):
-    """Tasks of one job that are allocated to one partition."""
+    """Some tasks of a job that are allocated to one partition."""
 
     tasks: list[TaskEntry]
 
 
 class PartitionRecord(Struct):
-    """The owner of a partition: a controller and its process. The epoch rises with every change of owner."""
+    """The owner of a partition: a controller and its process. Every change of owner increases the epoch."""
 
     node: str
     epoch: int
@@ -91,10 +92,10 @@
 class MemberRecord(Struct):
     """A controller that is a member of the cluster.
 
-    `isolated_zones` are the zones from whose workers it receives no heartbeats, while other controllers do;
-    `unreachable_zones` those of its partitions whose workers no controller reaches.
+    Workers of `isolated_zones` send heartbeats to other controllers, but none of them reach this one. The
+    `unreachable_zones` are those of its partitions whose workers no controller can reach.
 
-    `version` says what the process can do, see `PROGRAM_VERSION`. Versions before gangs neither write nor read it.
+    `version` is the `PROGRAM_VERSION` of the process. Versions before `GANG_VERSION` neither write nor read the field.
     """
 
     node: str
@@ -106,19 +107,19 @@
 
     @property
     def starts_gangs(self) -> bool:
-        """The member's version starts the tasks of a gang together; earlier ones would start them one by one."""
+        """Whether the member starts all tasks of a gang together; earlier versions start them one by one."""
         return self.version >= GANG_VERSION
 
 
 class LeaderRecord(Struct):
-    """The leading controller."""
+    """The leader: a controller and its process."""
 
     node: str
     process_incarnation: str = field(name="boot")
 
 
 class MachineRecord(Struct):
-    """A machine whose worker has sent a heartbeat to its partition's owner."""
+    """A machine whose worker has sent a heartbeat to the partition owner."""
 
     type: str
     spot: bool
@@ -127,7 +128,7 @@
 
 
 class FinalRecord(Struct):
-    """A terminal job: its state and number of tasks."""
+    """A terminal job: its final state and its number of tasks."""
 
     state: str
     tasks: int
@@ -160,7 +161,7 @@
 
 
 def decode(key: str, raw: bytes | msgspec.Raw) -> Record | None:
-    """Decodes the value of a key; None if the key is of no record. Raises `msgspec.DecodeError`."""
+    """Decodes the value of a key; returns None if the key is not that of a record. Raises `msgspec.DecodeError`."""
     for prefix, decoder in _DECODERS:
         if key.startswith(prefix):
             record: Record = decoder.decode(raw)
@@ -168,60 +169,63 @@
     return None
 
 
-ENTRY_BYTES_MOST = 80  # of one task entry as JSON, with room for long names of machines
-ALLOCATION_TASKS_MOST = 100  # longer values cost every reader more than the changes that they save
+MAX_ENTRY_BYTES = 80  # upper bound of a task entry as JSON, allowing for long machine names
+MAX_TASKS_PER_ALLOCATION = 100  # larger records cost every reader more than they save in changes
 
 
 def tasks_per_record(value_bytes: int) -> int:
-    """How many task entries an allocation record may hold so that its value has at most `value_bytes`."""
-    return max(1, min(ALLOCATION_TASKS_MOST, value_bytes // ENTRY_BYTES_MOST))
+    """Returns how many task entries an allocation record may hold so that its value takes at most `value_bytes`."""
+    return max(1, min(MAX_TASKS_PER_ALLOCATION, value_bytes // MAX_ENTRY_BYTES))
 
 
-class _TeamOfJob(Struct):
-    """The part of a job's record that names its team."""
+class _JobTeam(Struct):
+    """The part of a job record that holds the team's name."""
 
     spec: SubmittedTeam
 
 
 def team_of(key: str, raw: bytes | msgspec.Raw) -> str | None:
-    """The team in a job's record that can't be decoded as a whole; None if the team can't be decoded either."""
+    """Returns the team of a job record that can't be fully decoded.
+
+    Returns None if the key is not that of a job record, or if the team can't be decoded either.
+    """
     if not key.startswith(JOB):
         return None
     try:
-        return msgspec.json.decode(raw, type=_TeamOfJob).spec.team
+        return msgspec.json.decode(raw, type=_JobTeam).spec.team
     except msgspec.DecodeError:
         return None
 
 
-TXN_BYTES = 56_000  # room for guards is left below the state service's 64 KiB
-_CHANGE_BYTES, _ENTRY_BYTES = 400, 60
+TXN_BYTES = 56_000  # of the changes in a request; the rest of the state service's 64 KiB limit is for guards
+_BYTES_PER_CHANGE, _BYTES_PER_ENTRY = 400, 60
 
 
 def change_bytes(record: Record | None) -> int:
-    """An upper bound of the bytes that a change takes in a request, without encoding it."""
-    return _CHANGE_BYTES + (_ENTRY_BYTES * len(record.tasks) if isinstance(record, AllocationRecord) else 0)
+    """Returns an upper bound of the bytes that a change takes in a request, without encoding the change."""
+    return _BYTES_PER_CHANGE + (_BYTES_PER_ENTRY * len(record.tasks) if isinstance(record, AllocationRecord) else 0)
 
 
 class AllocationKey(NamedTuple):
-    """Key of an allocation: the zone of its partition, the job, and a number."""
+    """Key of an allocation record: the zone of its partition, the job id, and the allocation's number in the job."""
 
     zone: str
     job: str
     chunk: int
 
     def __str__(self) -> str:
-        """The key in the state service."""
+        """Returns the record's key."""
         return f"{ALLOCATION}{self.zone}/{self.job}/{self.chunk}"
 
     @staticmethod
     def parse(key: str) -> AllocationKey:
-        """Parses a key in the state service; the inverse of `str()`."""
+        """Parses a record's key; the inverse of `str()`."""
         zone, job, chunk = key[len(ALLOCATION) :].rsplit("/", 2)
         return AllocationKey(zone, job, int(chunk))
 
 
 def job_of(key: str) -> str | None:
-    """Id of the job that a key belongs to; None if it belongs to none."""
+    """Returns the id of the job that a key belongs to; None for all other keys."""
     if key.startswith(ALLOCATION):
         return AllocationKey.parse(key).job
     for prefix in (JOB, ADMISSION):
@@ -230,37 +234,37 @@
     return None
 
 
-SPLIT_FROM = 1_000_000  # chunks from a split are numbered from here, apart from those of admissions
-SPLIT_STRIDE = 1000
+FIRST_SPLIT_CHUNK = 1_000_000  # splits number their chunks from here, to keep apart from the numbers of admissions
+MAX_SPLIT_CHUNKS = 1000  # numbers reserved for the chunks split from one record
 
 
-def pieces_of(record: AllocationRecord, most_tasks: int) -> int:
-    """How many changes it takes to write the record with at most `most_tasks` tasks under each key."""
-    return max(1, ceil(len(record.tasks) / most_tasks))
+def pieces_of(record: AllocationRecord, max_tasks: int) -> int:
+    """Returns the number of records, and so of changes, that hold the tasks with at most `max_tasks` in each."""
+    return max(1, ceil(len(record.tasks) / max_tasks))
 
 
 def split(
-    allocation: AllocationKey, record: AllocationRecord, most_tasks: int
+    allocation: AllocationKey, record: AllocationRecord, max_tasks: int
 ) -> list[tuple[AllocationKey, AllocationRecord]]:
-    """Splits a record that holds more tasks than may be written under one key.
+    """Splits a record into records of at most `max_tasks` tasks.
 
-    The first piece keeps the key. All pieces have to be written in one transaction, so that no reader ever sees a task
-    twice or not at all. Records from before a limit was lowered are split this way when they are next written.
+    The first piece keeps the key. All pieces have to be written in one transaction, so that no reader sees a task twice
+    or not at all. Records that were written before the size limit was lowered are split when they are next written.
     """
-    pieces = [record.tasks[at : at + most_tasks] for at in range(0, len(record.tasks), most_tasks)]
+    pieces = [record.tasks[start : start + max_tasks] for start in range(0, len(record.tasks), max_tasks)]
     out = [(allocation, AllocationRecord(pieces[0] if pieces else []))]
     for number, tasks in enumerate(pieces[1:], start=1):
-        chunk = SPLIT_FROM + (allocation.chunk % SPLIT_FROM) * SPLIT_STRIDE + number
+        chunk = FIRST_SPLIT_CHUNK + (allocation.chunk % FIRST_SPLIT_CHUNK) * MAX_SPLIT_CHUNKS + number
         out.append((AllocationKey(allocation.zone, allocation.job, chunk), AllocationRecord(tasks)))
     return out
 
 
 def machine_key(zone: str, name: str) -> str:
-    """Key of a machine's record."""
+    """Returns the key of a machine's record."""
     return f"{MACHINE}{zone}/{name}"
 
 
 def parse_machine_key(key: str) -> tuple[str, str]:
-    """Zone and name of the machine with a key."""
+    """Returns the zone and the name of the machine to which the key of a machine record belongs."""
     zone, name = key[len(MACHINE) :].split("/", 1)
     return zone, name
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -1,8 +1,8 @@
-"""This controller's copy of the records in the state service, and the way to change them.
+"""This controller's local copy of the records in the state service, and commits of changes to them.
 
-The copy follows the service by watches. A watch response covers every change between two revisions, so applying those
-that are newer than the copy's own revision is exact, whichever of several watches responds first. `Replica.sync` brings
-the copy up to the moment of the call: what another controller has told a user, this one knows as well.
+Watches keep the copy up to date. A watch response holds every change between two revisions, so it is exact to apply the
+changes that are newer than the copy's revision, whichever of several watches responds first. `Replica.sync` brings the
+copy up to the time of the call, so it holds whatever another controller confirmed to a user before.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
 WATCH_PAUSE_S = 0.12
 SYNC_PAUSE_S = 0.06
 UNREACHABLE_PAUSE_S = 0.3
-APPLY_AT_ONCE = 200  # changes
-READS_SHARE = 0.4  # of the rate of requests, for watches and for reads on behalf of users alike
+MAX_CHANGES_AT_ONCE = 200  # applied before other tasks of the event loop run
+READ_RATE_SHARE = 0.4  # part of the request rate that the watch may use, and the same part for `sync`
 
 
 class Replica:
-    """Keeps a `ClusterState` up to date and commits changes to it."""
+    """Keeps a `ClusterState` up to date and commits changes of its records."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
         self.state = ClusterState()
         self.state.consistent_from = float("inf")
         self.loaded = False
-        self.loaded_revision = 0  # since which the copy has missed no change
-        self.synced_at = float("-inf")  # the copy held everything that had been changed before this moment
-        self._reachable = True  # only to log an outage once
+        self.loaded_revision = 0  # revision after which the copy has not missed a change
+        self.synced_at = float("-inf")  # the copy holds all changes before this time, by the monotonic clock
+        self._reachable = True  # so that an outage is logged once
         self._listeners: list[curio.Event] = []
         self._pending_sync: _SharedSync | None = None
         self._sync_requested = curio.Event()
@@ -53,11 +53,11 @@
 
     @property
     def consistent(self) -> bool:
-        """Whether the copy was read completely and all of it was so at one revision."""
+        """Whether the copy was completely read and all its records are of one revision."""
         return self.loaded and self.state.consistent
 
     def listen(self) -> curio.Event:
-        """Returns an event that is set whenever something may have changed; the listener clears it."""
+        """Returns an event that is set whenever records may have changed; the listener clears it."""
         changed = curio.Event()
         self._listeners.append(changed)
         return changed
@@ -68,14 +68,14 @@
             await changed.set()
 
     async def load_ownership(self) -> None:
-        """Reads the records needed to answer workers, before all others."""
+        """Reads the partition, member and leader records; these suffice to respond to workers before `load` has run."""
         for prefix in (records.PARTITION, records.MEMBER, records.LEADER):
             page = await self.store.page(prefix, None)
             for item in page.items:
                 self.state.put_encoded(item.key, item.version, item.value)
 
     async def load(self) -> None:
-        """Reads all records that are alive; the watch then starts at the revision of the first page."""
+        """Reads all records in use; the watch then starts at the revision of the first page."""
         started = time.monotonic()
         self.state.consistent_from = float("inf")
         seen: set[str] = set()
@@ -99,11 +99,12 @@
         await self.notify()
 
     async def _load_seeds(self, seen: set[str]) -> int | None:
-        """Reads the records that share values; the revision of the first page, None if there are no such records."""
+        """Reads the records that share values; returns the revision of the first page, None without such records."""
         history = self.store.history
         if history is None:
             return None
-        history.verified_at = float("-inf")  # changes were missed: the history may be another one by now
+        # Forces a check of the marker: the history may have been sealed while changes were missed.
+        history.verified_at = float("-inf")
         if not history.record.seeded:
             return None
         from spurarch.storage.seeds import Seeds, load_seeds
@@ -112,7 +113,7 @@
         return await load_seeds(self.store, self.state, self.state.seeds, seen)
 
     async def _read_pages(self, seen: set[str], first_revision: int | None) -> _PagesRead:
-        """Reads the records that have keys of their own."""
+        """Reads the records that have keys of their own; adds the keys to `seen`."""
         after: str | None = None
         count = 0
         while True:
@@ -128,14 +129,15 @@
 
     async def _apply_changes(self, changes: wire.Changes) -> None:
         applied, events = 0, sorted(changes.events, key=lambda event: event.version)
-        for event, following in zip_longest(events, events[1:]):
+        for event, next_event in zip_longest(events, events[1:]):
             if event.version <= self.state.revision:
                 continue
             self._apply_event(event)
             applied += 1
-            if applied >= APPLY_AT_ONCE and following is not None and following.version != event.version:
-                # The first response after an outage holds all changes made meanwhile. Applied in one piece, it would
-                # delay answers to workers and the renewal of membership. A transaction is never applied in part.
+            if applied >= MAX_CHANGES_AT_ONCE and next_event is not None and next_event.version != event.version:
+                # The first response after an outage holds all changes since. Applying them without a break would delay
+                # heartbeat responses and renewals of the membership lease. A transaction is never split: its events
+                # have the same version.
                 applied = 0
                 self.state.advance(event.version)
                 await curio.sleep(0)
@@ -152,7 +154,7 @@
                 self.state.seeds.drop(event.delete)
 
     async def run_watch(self) -> None:
-        """Loads the records and follows their changes; runs until cancelled."""
+        """Loads the records and watches their changes; runs until cancelled."""
         while True:
             try:
                 if not self.loaded:
@@ -161,7 +163,7 @@
                 await self._apply_changes(await self.store.watch(self.state.revision, WATCH_MS))
                 self.synced_at = max(self.synced_at, sent)
                 self._reachable = True
-                await curio.sleep(max(WATCH_PAUSE_S, 1 / (READS_SHARE * self.store.rates.request_rate)))
+                await curio.sleep(max(WATCH_PAUSE_S, 1 / (READ_RATE_SHARE * self.store.rates.request_rate)))
             except RevisionTooOldError:
                 log.info("watch revision compacted, reading all records again revision=%d", self.state.revision)
                 self.loaded = False
@@ -171,48 +173,48 @@
                 await curio.sleep(UNREACHABLE_PAUSE_S)
 
     async def run_sync(self) -> None:
-        """Serves all callers of `sync` that wait at a moment with one read; runs until cancelled."""
+        """Serves all callers of `sync` that wait at the same time with one read; runs until cancelled."""
         while True:
             await self._sync_requested.wait()
             self._sync_requested.clear()
-            batch, self._pending_sync = self._pending_sync, None
-            if batch is None:
+            shared_sync, self._pending_sync = self._pending_sync, None
+            if shared_sync is None:
                 continue
             try:
                 started = time.monotonic()
                 if not self.loaded:
-                    raise StoreUnavailableError("not loaded")
+                    raise StoreUnavailableError("the records have not been loaded yet")
                 await self._apply_changes(await self.store.watch(self.state.revision, 0))
                 self.synced_at = max(self.synced_at, started)
-                batch.succeeded = True
+                shared_sync.succeeded = True
             except (StoreUnavailableError, RevisionTooOldError) as err:
-                log.debug("freshness read failed error=%s", err)
-            await batch.finished.set()
-            await curio.sleep(max(SYNC_PAUSE_S, 1 / (READS_SHARE * self.store.rates.request_rate)))
+                log.debug("sync with state service failed error=%s", err)
+            await shared_sync.finished.set()
+            await curio.sleep(max(SYNC_PAUSE_S, 1 / (READ_RATE_SHARE * self.store.rates.request_rate)))
 
     async def sync(self, timeout_s: float = 1.5) -> bool:
-        """Brings the copy up to what the state service held when this was called.
+        """Brings the copy up to the state service's revision at the time of the call.
 
-        Returns False if the service did not answer within `timeout_s`, or refused.
+        Returns False if the records are not loaded yet, or the service did not serve the read within `timeout_s`.
         """
         if self._pending_sync is None:
             self._pending_sync = _SharedSync()
-        batch = self._pending_sync
+        shared_sync = self._pending_sync
         await self._sync_requested.set()
         try:
-            await curio.timeout_after(timeout_s, batch.finished.wait)
+            await curio.timeout_after(timeout_s, shared_sync.finished.wait)
         except curio.TaskTimeout:
             return False
-        return batch.succeeded
+        return shared_sync.succeeded
 
     async def read_final(self, job: str) -> FinalRecord | None:
-        """The final record of a job, from memory or from the state service; None if there is none.
+        """Returns the final record of a job, from memory or from the state service; None if there is none.
 
-        Raises `StoreUnavailableError` if the service does not answer.
+        Raises `StoreUnavailableError`.
         """
-        known = self.state.finals.get(job)
-        if known is not None:
-            return known
+        cached = self.state.finals.get(job)
+        if cached is not None:
+            return cached
         item = await self.store.get(records.FINAL + job)
         if item is None:
             history = self.store.history
@@ -224,16 +226,19 @@
         return record
 
     async def _read_packed(self, job: str, packed: int) -> FinalRecord | None:
-        """The final record of a job that ended before the records were last rebuilt."""
+        """Returns the final record of a job that ended in an earlier history, None if there is none.
+
+        `packed` is the number of keys that hold such records.
+        """
         if not packed:
             return None
         from spurarch.storage.history import decode_packed, packed_key
 
         item = await self.store.get(packed_key(job, packed))
-        found = decode_packed(item.value).jobs.get(job) if item is not None else None
-        if found is None:
+        state_and_tasks = decode_packed(item.value).jobs.get(job) if item is not None else None
+        if state_and_tasks is None:
             return None
-        record = FinalRecord(*found)
+        record = FinalRecord(*state_and_tasks)
         self.state.put(records.FINAL + job, 1, record)
         return record
 
@@ -246,18 +251,20 @@
         urgency: Urgency = Urgency.STARTS,
         pinned: dict[str, int] | None = None,
     ) -> TransactionResult:
-        """Commits writes if every written or guarded key still has the version known here.
+        """Commits writes if every written or guarded key still has the version that it has in the local copy.
 
-        Keys in `absent` must not exist. `pinned` are further guards, with the versions that the caller decided by.
+        Keys in `absent` must not exist. `pinned` are further guards, by key: the versions on which the caller based its
+        decision.
 
-        After a lost response, the same transaction is sent again: whichever copy of it is executed first makes the
-        other fail. The result is therefore UNKNOWN only when `give_up_s` has passed.
+        After a lost response, the same transaction is sent again; whichever request is executed first makes the guards
+        of the other fail. So the result is UNKNOWN only after `give_up_s` seconds (None: no limit), or if a written or
+        guarded record has to be unpacked first (see `spurarch.storage.seeds`) and the outcome of that is unknown.
         """
         return await self._committer.commit(writes, guards, absent, give_up_s, urgency, pinned)
 
 
 class _PagesRead(Struct, frozen=True):
-    """How many pages were read, and the revisions of the first and the last."""
+    """Number of pages read, and the revisions of the first and the last page."""
 
     count: int
     first_revision: int
@@ -265,7 +272,7 @@
 
 
 class _SharedSync:
-    """Callers that share one read."""
+    """A read that several callers of `sync` wait for."""
 
     def __init__(self) -> None:
         self.finished = curio.Event()
--- a/spurarch/storage/seeds.py
+++ b/spurarch/storage/seeds.py
@@ -1,8 +1,9 @@
-"""Records that a rebuilt history begins with, many in one value.
+"""Seeds: values that hold many of the records with which a rebuilt history begins.
 
-A rebuild writes one value for up to a transaction's worth of records, so that the history opens after a few hundred
-changes instead of many thousands. Such records are read like others. Before one of them is first changed, or is a
-condition of a change, one transaction writes all records of its value under their own keys and deletes the value.
+A rebuild writes one value for as many records as one transaction can later unpack. So the history opens after a few
+hundred changes instead of many thousands. Reads return such records like all others. Before one of them is written or
+guarded for the first time, one transaction unpacks its value: it writes all records of the value under their own keys
+and deletes the value.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
     from spurarch.storage.store import Store
 
 SEED = "seed/"
-SEED_VERSION = 1  # of a record that has no key of its own yet: below that of any key
+SEED_VERSION = 1  # version of a record without a key of its own; lower than the version of any stored key
 
 
 class SeedRecord(Struct, array_like=True):
-    """One record: its key, and its value as JSON."""
+    """One record: its key and its JSON value."""
 
     key: str
     value: msgspec.Raw
 
 
 class SeedPack(Struct):
-    """The records of one value."""
+    """The records that share one value."""
 
     records: list[SeedRecord]
 
 
 class PackedSeed(Struct):
-    """A value that has not been unpacked yet, and its version."""
+    """A shared value that has not been unpacked yet: its key, its version and its records."""
 
     key: str
     version: int
@@ -46,38 +47,39 @@
 
 
 def decode_seed(raw: msgspec.Raw | bytes) -> SeedPack:
-    """Decodes a value under `SEED`; raises `msgspec.DecodeError`."""
+    """Decodes a value under `SEED`. Raises `msgspec.DecodeError`."""
     return _decoder.decode(raw)
 
 
 class Seeds:
-    """The values that have not been unpacked, by the keys of their records."""
+    """The shared values that have not been unpacked yet, indexed by the keys of their records."""
 
     def __init__(self) -> None:
         self._packs: dict[str, PackedSeed] = {}
-        self._pack_keys: dict[str, str] = {}  # by a record's key, that of the value that holds it
+        self._pack_keys: dict[str, str] = {}  # by record key, the key of its shared value
 
     def put(self, packed: PackedSeed) -> None:
-        """Adds a value that was read."""
+        """Adds a shared value."""
         self._packs[packed.key] = packed
         for record in packed.pack.records:
             self._pack_keys[record.key] = packed.key
 
     def drop(self, key: str) -> None:
-        """Removes a value that was deleted: its records have keys of their own."""
+        """Removes a shared value after it was unpacked and deleted; does nothing for any other key."""
         packed = self._packs.pop(key, None)
         for record in packed.pack.records if packed is not None else ():
             self._pack_keys.pop(record.key, None)
 
     def clear(self) -> None:
-        """Removes all values, before they are read again."""
+        """Removes all shared values, before they are read again."""
         self._packs.clear()
         self._pack_keys.clear()
 
     def holding(self, keys: Iterable[str]) -> list[PackedSeed]:
-        """Returns the values that hold any of the records with these keys."""
+        """Returns the shared values that hold any of the records with these keys."""
         return [
-            self._packs[name] for name in dict.fromkeys(self._pack_keys[key] for key in keys if key in self._pack_keys)
+            self._packs[pack_key]
+            for pack_key in dict.fromkeys(self._pack_keys[key] for key in keys if key in self._pack_keys)
         ]
 
 
@@ -103,18 +105,19 @@
         after = page.items[-1].key
 
 
-def pack(records: list[SeedRecord], most: int, value_bytes: int) -> list[SeedPack]:
+def pack(records: list[SeedRecord], max_changes: int, value_bytes: int) -> list[SeedPack]:
     """Packs records into values of at most `value_bytes`.
 
-    A value holds so few records that unpacking it, with its own deletion, makes at most `most` changes.
+    Each value holds at most `max_changes - 1` records, so that unpacking it takes at most `max_changes` changes: one
+    for each record, and the deletion of the value.
     """
-    out: list[SeedPack] = []
-    size = 0
+    packs: list[SeedPack] = []
+    pack_bytes = 0
     for record in records:
-        length = len(msgspec.json.encode(record)) + 1
-        if not out or len(out[-1].records) >= most - 1 or size + length > value_bytes - 64:
-            out.append(SeedPack([]))
-            size = 0
-        out[-1].records.append(record)
-        size += length
-    return out
+        record_bytes = len(msgspec.json.encode(record)) + 1
+        if not packs or len(packs[-1].records) >= max_changes - 1 or pack_bytes + record_bytes > value_bytes - 64:
+            packs.append(SeedPack([]))
+            pack_bytes = 0
+        packs[-1].records.append(record)
+        pack_bytes += record_bytes
+    return packs
