--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -1,6 +1,6 @@
-"""The users' request API: submission, polling and cancellation of jobs.
+"""The HTTP API for users: submission, polling and cancellation of jobs.
 
-A request is answered at once; where the answer can't be given yet, 503 says when to retry.
+Every request gets a prompt response; if the result can't be determined yet, it is 503 with a `Retry-After` header.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 
 RETRY_S = 1
 UPGRADE_RETRY_S = 5
-UNRESOLVED_RETRY_S = 30  # an operator has to resolve what is in doubt
+UNRESOLVED_RETRY_S = 30  # until an operator has resolved the job's outcome
 COMMIT_TIMEOUT_S = 2.5
 SYNC_TIMEOUT_S = 1.2
 CANCEL_ATTEMPTS = 4
-LONGEST_QUEUE_S = 2.0  # of submissions that wait for the state service: users wait no longer
-ARCHIVE_TIMEOUT_S, ARCHIVE_POLL_S = 1.2, 0.02  # in installations that answer once the archive holds what is told
-ARCHIVED_JOBS_REMEMBERED = 20_000
-RECORD_MARGIN_BYTES = 64  # the state service may count a little more than we send
-QUOTA_TOLERANCE = 1e-6  # CPUs or GPUs: sums of fractions are inexact
+MAX_QUEUE_WAIT_S = 2.0  # of submissions for the rate limit of the state service; users wait no longer than this
+ARCHIVE_TIMEOUT_S, ARCHIVE_POLL_S = 1.2, 0.02  # only if responses have to wait for the archive
+MAX_ARCHIVED_JOBS = 20_000
+RECORD_MARGIN_BYTES = 64  # the state service may count slightly more bytes per value than were sent
+QUOTA_TOLERANCE = 1e-6  # in CPUs or GPUs; sums of floating-point fractions are inexact
 MAX_AMOUNT = 1e9
-UNREACHABLE = "the state service can't be reached"
+STORE_UNREACHABLE = "the state service can't be reached"
 
 
-def refusal(status: int, message: str, retry_s: int = RETRY_S) -> Response:
-    """An error as JSON; a temporary one says after how many seconds to retry."""
+def api_error(status: int, message: str, retry_s: int = RETRY_S) -> Response:
+    """Returns an error with a JSON body; for 429 and 503, `Retry-After` is `retry_s` seconds."""
     headers = [("Retry-After", str(retry_s))] if status in (429, 503) else []
     return Response(status, wire.encode(wire.ErrorBody(message)), headers)
 
@@ -53,7 +53,7 @@
 
 
 class FeasibilityCheck:
-    """Refuses jobs that this deployment can never run."""
+    """Rejects jobs that this deployment can never run."""
 
     def __init__(self, view: FleetView, deployment: Deployment) -> None:
         self._view = view
@@ -62,27 +62,27 @@
         self._record_bytes = deployment.state.value_bytes - RECORD_MARGIN_BYTES
 
     def check(self, spec: wire.Submission) -> Response | None:
-        """Why the job can never run, or 503 while nobody can tell; None if it can run."""
+        """Returns None if the job can run, else the error response: 422, or 503 while machine types are not known."""
         team = self._teams.get(spec.team)
         if team is None:
-            return refusal(422, "crew: unknown team")
+            return api_error(422, "crew: unknown team")
         if _exceeds_quota(spec, team):
-            return refusal(422, "the job needs more than its team's limit")
+            return api_error(422, "the job needs more than its team's limit")
         if spec.kind == wire.GANG and spec.spread and spec.tasks > 1:
-            return refusal(422, "spread: the tasks of a gang are in one zone")
+            return api_error(422, "spread: the tasks of a gang are in one zone")
         if spec.zone is not None and spec.zone not in self._zones:
-            return refusal(422, "district: unknown zone")
+            return api_error(422, "district: unknown zone")
         if len(wire.encode(JobRecord(spec, time.time(), True, time.time()))) > self._record_bytes:
-            return refusal(422, "the job's description is larger than a record may be")
+            return api_error(422, "the job's description is larger than a record may be")
         if not self._view.machine_types:
-            return refusal(503, "machine types are not known yet")
-        if any(_fits(spec, machine_type) for machine_type in self._view.machine_types.values()):
+            return api_error(503, "machine types are not known yet")
+        if any(_task_fits(spec, machine_type) for machine_type in self._view.machine_types.values()):
             return None
-        return refusal(422, "a task fits no allowed machine type")
+        return api_error(422, "a task fits no allowed machine type")
 
 
 def _exceeds_quota(spec: wire.Submission, team: Team) -> bool:
-    """The tasks that have to run together need more than the team's quota, where it has one."""
+    """Returns whether the tasks that have to run together need more than the team's quota; 0 means no quota."""
     tasks = 1 if spec.kind == wire.BATCH else spec.tasks
     return (
         0 < team.quota_cpus < spec.cpus * tasks - QUOTA_TOLERANCE
@@ -90,8 +90,8 @@
     )
 
 
-def _fits(spec: wire.Submission, machine_type: wire.MachineType) -> bool:
-    """One task fits a machine of an allowed type."""
+def _task_fits(spec: wire.Submission, machine_type: wire.MachineType) -> bool:
+    """Returns whether the job allows the machine type and one task fits on such a machine."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine_type.zones:
@@ -102,19 +102,20 @@
 
 
 class ArchiveGate:
-    """Holds answers back until the archive has what they say, where the installation asks for that.
+    """Delays responses until the archive holds the job state that they report, if `archived_answers` is set.
 
-    What a user was told must not be forgotten, whatever is lost: with `archived_answers`, the archive alone is enough.
+    With this setting, a state that was reported to a user can be recovered from the archive alone.
     """
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
-        self._archived_jobs: dict[str, None] = {}  # whose final state is known to be archived, oldest first
+        self._archived_jobs: dict[str, None] = {}  # jobs whose final state is archived, oldest first
 
     async def once_archived(self, revision: int | None, response: Response, final_job: str | None = None) -> Response:
-        """The response, once the archive holds the revision (None: all that is on record); 503 if that takes too long.
+        """Returns `response` when the archive holds `revision`, or 503 after `ARCHIVE_TIMEOUT_S`.
 
-        `final_job` names a job whose final state is told; it is waited for once.
+        If `revision` is None, waits for the newest revision on record. `final_job` is the id of a job whose final state
+        the response reports; after one successful wait for it, later responses are not delayed.
         """
         history = self._replica.store.history
         if history is None or not history.record.archived_answers or final_job in self._archived_jobs:
@@ -123,20 +124,20 @@
         revision = history.recorded if revision is None else revision
         while history.archived < revision:
             if time.monotonic() > deadline:
-                return refusal(503, "recorded, and not archived yet")
+                return api_error(503, "recorded, and not archived yet")
             await curio.sleep(ARCHIVE_POLL_S)
         if final_job is not None:
             self._archived_jobs[final_job] = None
-            if len(self._archived_jobs) > ARCHIVED_JOBS_REMEMBERED:
+            if len(self._archived_jobs) > MAX_ARCHIVED_JOBS:
                 del self._archived_jobs[next(iter(self._archived_jobs))]
         return response
 
 
 class JobApi:
-    """Submissions, polls and cancellations of jobs.
+    """Handles submissions, polls and cancellations of jobs.
 
-    `nodes` are all controllers, this one first. `notify_peers` tells them of changes on record, `notify_cancelled` of a
-    cancellation that is about to be confirmed to its user.
+    `nodes` are the names of all controllers, this one first. `notify_peers` notifies the peers of changed records,
+    `notify_cancelled` of a cancellation before it is confirmed to its user.
     """
 
     def __init__(
@@ -155,48 +156,49 @@
         self._pending_submissions = 0
 
     async def submit(self, body: bytes) -> Response:
-        """POST of a job."""
+        """Handles the submission of a job (POST)."""
         try:
             spec = wire.submission_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError) as err:
-            return refusal(400, str(err))
+            return api_error(400, str(err))
         if not wire.JOB_ID_PATTERN.fullmatch(spec.id):
-            return refusal(400, "ref: not a job id")
+            return api_error(400, "ref: not a job id")
         if not _amounts_in_range(spec):
-            return refusal(400, "an amount is out of range")
+            return api_error(400, "an amount is out of range")
         wait_s = self._pending_submissions / self._replica.store.rates.write_rate
-        if wait_s > LONGEST_QUEUE_S:
-            # The queue for the state service is longer than users wait: it is better to retry once it is short.
-            return refusal(503, "too many submissions at once", math.ceil(wait_s))
+        if wait_s > MAX_QUEUE_WAIT_S:
+            # The submission would wait for the rate limit of the state service for longer than users wait for a
+            # response, so the user has to retry when the queue is shorter.
+            return api_error(503, "too many submissions at once", math.ceil(wait_s))
         self._pending_submissions += 1
         try:
             return await self._accept(spec)
         except StoreUnavailableError:
-            return refusal(503, UNREACHABLE)
+            return api_error(503, STORE_UNREACHABLE)
         finally:
             self._pending_submissions -= 1
 
     async def _accept(self, spec: wire.Submission) -> Response:
         if not self._replica.loaded:
-            return refusal(503, "starting")
+            return api_error(503, "starting")
         state = self._replica.state
         history = self._replica.store.history
         if spec.id in state.jobs or spec.id in state.finals or (history is not None and history.record.packed):
-            # Final states of earlier histories are no keys of their own that the transaction could guard.
-            known = await self._known_state(spec.id)
-            if known is not None:
-                return known
+            # Final states of earlier histories have no keys of their own that the transaction could guard.
+            response = await self._state_response(spec.id)
+            if response is not None:
+                return response
         if spec.id in state.jobs or spec.id in state.finals:
-            return await self._known_state(spec.id) or refusal(503, UNREACHABLE)
-        infeasible = self._feasibility.check(spec)
-        if infeasible is not None:
-            # A job that was accepted once is never refused, whatever has changed since.
-            return await self._known_state(spec.id) or infeasible
+            return await self._state_response(spec.id) or api_error(503, STORE_UNREACHABLE)
+        rejection = self._feasibility.check(spec)
+        if rejection is not None:
+            # A job that was accepted earlier is not rejected, even if quotas or machine types have changed since.
+            return await self._state_response(spec.id) or rejection
         guards: list[str] = []
         if spec.kind == wire.GANG:
             if not gangs_supported(state.members):
-                return refusal(503, "gangs are taken once all controllers have been upgraded", UPGRADE_RETRY_S)
-            # A controller of an earlier version may join between this check and the transaction.
+                return api_error(503, "gangs are taken once all controllers have been upgraded", UPGRADE_RETRY_S)
+            # The guards fail if a controller of an earlier version joins between this check and the transaction.
             guards = [records.MEMBER + node for node in self._nodes]
         result = await self._replica.commit(
             [Write(records.JOB + spec.id, JobRecord(spec, time.time()))],
@@ -209,30 +211,30 @@
             await self._notify_peers()
             return await self._archive.once_archived(result.revision, _job_state(201, spec.id, wire.QUEUED))
         if result.status is TransactionStatus.CONFLICT:
-            return await self._known_state(spec.id) or refusal(503, "not settled yet")
-        return refusal(503, UNREACHABLE)
+            return await self._state_response(spec.id) or api_error(503, "not settled yet")
+        return api_error(503, STORE_UNREACHABLE)
 
     async def get(self, job_id: str) -> Response:
-        """GET of a job."""
+        """Handles a poll of a job (GET)."""
         if not wire.JOB_ID_PATTERN.fullmatch(job_id):
-            return refusal(404, "no such job")
+            return api_error(404, "no such job")
         try:
-            return await self._known_state(job_id) or self._not_found()
+            return await self._state_response(job_id) or self._not_found()
         except StoreUnavailableError:
-            return refusal(503, UNREACHABLE)
+            return api_error(503, STORE_UNREACHABLE)
 
     async def cancel(self, job_id: str) -> Response:
-        """POST of a cancellation."""
+        """Handles the cancellation of a job (POST)."""
         if not wire.JOB_ID_PATTERN.fullmatch(job_id):
-            return refusal(404, "no such job")
+            return api_error(404, "no such job")
         try:
             for _ in range(CANCEL_ATTEMPTS):
-                known = await self._known_state(job_id)
-                if known is None:
+                response = await self._state_response(job_id)
+                if response is None:
                     return self._not_found()
                 record = self._replica.state.jobs.get(job_id)
                 if record is None or record.cancelled:
-                    return known
+                    return response
                 result = await self._replica.commit(
                     [Write(records.JOB + job_id, JobRecord(record.spec, record.submitted_at, True, time.time()))],
                     give_up_s=COMMIT_TIMEOUT_S,
@@ -243,24 +245,27 @@
                     return await self._archive.once_archived(result.revision, _job_state(200, job_id, wire.CANCELLED))
                 if result.status is not TransactionStatus.CONFLICT:
                     break
-            return refusal(503, "not settled yet")
+            return api_error(503, "not settled yet")
         except StoreUnavailableError:
-            return refusal(503, UNREACHABLE)
+            return api_error(503, STORE_UNREACHABLE)
 
     def _not_found(self) -> Response:
-        """The answer where the job has no record: 503 while records may be missing, for it may have been accepted."""
+        """Returns the response for a job without a record: 404, or 503 while records of jobs may be missing."""
         history = self._replica.store.history
         if history is not None and history.record.uncertain:
-            return refusal(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
-        return refusal(404, "no such job")
+            return api_error(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
+        return api_error(404, "no such job")
 
-    async def _known_state(self, job_id: str) -> Response | None:
-        """The job's state, no older than anything that was told elsewhere before; None if it was never accepted."""
+    async def _state_response(self, job_id: str) -> Response | None:
+        """Returns the job's state, at least as new as any reported before by any controller; None if it has no record.
+
+        Raises `StoreUnavailableError`.
+        """
         state = self._replica.state
         final = state.finals.get(job_id)
         if final is None:
             if not self._replica.loaded or not await self._replica.sync(SYNC_TIMEOUT_S):
-                raise StoreUnavailableError("no fresh copy")
+                raise StoreUnavailableError("the local copy of the records can't be brought up to date")
             record = state.jobs.get(job_id)
             if record is not None:
                 return await self._archive.once_archived(
@@ -270,7 +275,7 @@
         if final is None:
             return None
         if final.state == records.UNRESOLVED:
-            return refusal(503, "in doubt since the records were rebuilt", UNRESOLVED_RETRY_S)
+            return api_error(503, "in doubt since the records were rebuilt", UNRESOLVED_RETRY_S)
         done = final.tasks if final.state == wire.DONE else None
         response = _job_state(200, job_id, final.state, done, 0 if done is not None else None)
         return await self._archive.once_archived(None, response, job_id)
@@ -279,13 +284,13 @@
         if record.cancelled:
             return _job_state(200, job_id, wire.CANCELLED)
         self._view.update()
-        job = self._view.jobs.get(job_id)  # counted incrementally: there are many jobs, each polled every few seconds
+        job = self._view.jobs.get(job_id)  # counts incrementally: there are many jobs, each polled every few seconds
         done, running = (job.ended, job.assigned) if job is not None else (0, 0)
         return _job_state(200, job_id, wire.RUNNING if running else wire.QUEUED, done, running)
 
 
 def _amounts_in_range(spec: wire.Submission) -> bool:
-    """All amounts are numbers between 0 and `MAX_AMOUNT`."""
+    """Returns whether all amounts are between 0 and `MAX_AMOUNT`; false if one is NaN."""
     amounts = (
         spec.cpus,
         spec.gpus,
