--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_MS = 4000
+WATCH_TIMEOUT_MS = 4000
 WATCH_PAUSE_S = 0.12
 SYNC_PAUSE_S = 0.06
 UNREACHABLE_PAUSE_S = 0.3
@@ -160,7 +160,7 @@
                 if not self.loaded:
                     await self.load()
                 sent = time.monotonic()
-                await self._apply_changes(await self.store.watch(self.state.revision, WATCH_MS))
+                await self._apply_changes(await self.store.watch(self.state.revision, WATCH_TIMEOUT_MS))
                 self.synced_at = max(self.synced_at, sent)
                 self._reachable = True
                 await curio.sleep(max(WATCH_PAUSE_S, 1 / (READ_RATE_SHARE * self.store.rates.request_rate)))
