--- a/spurarch/protocol/__init__.py
+++ b/spurarch/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages of every interface, their checks, and the only home of the names on the wire."""
+"""Typed and validated messages of every interface. Names on the wire are defined only here."""
--- a/spurarch/protocol/peer_messages.py
+++ b/spurarch/protocol/peer_messages.py
@@ -1,4 +1,7 @@
-"""Messages between controllers: tagged tuples in MessagePack. Any of them may be lost without harm."""
+"""Messages between controllers: tagged tuples in MessagePack.
+
+Any message may be dropped without harm: its content is on record or is sent again.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +10,33 @@
 
 
 class StateChanged(Struct, tag="wake", array_like=True):
-    """Something was written to the state service that the receiver will want to see."""
+    """Notifies the receiver of a change in the state service, which it then reads.
+
+    Also sent as the acknowledgement of messages that have no answer of their own.
+    """
 
 
 class Ping(Struct, tag="ping", array_like=True):
-    """Asks whether the receiver reaches the state service, and for what it knows, since the sender may be cut off."""
+    """Requests a `Pong`. Sent by a controller that can't read the state service."""
 
     node: str
 
 
 class Pong(Struct, tag="pong", array_like=True):
-    """Answer to a ping, with all that the sender knows to be cancelled, and who owns which partition.
-
-    `partitions` are zone, owner's node and epoch. With `store_reachable`, the lists are as new as the ping. Without,
-    they are complete up to `copy_age_s` ago, and hold whatever the sender's own process confirmed since; a `copy_age_s`
-    below zero says that it has never read the state service (an older version leaves it out, and its lists with it).
-    `uptime_s` is how long the process has run.
+    """Answer to a `Ping`: the cancelled jobs and the partition owners in the sender's copy of the records.
+
+    Attributes:
+        node: Node of the sender.
+        process_incarnation: Unique id of the sender's process.
+        store_reachable: Whether the sender could read the state service when it received the ping. If so, the lists
+            are at least as recent as the ping.
+        cancelled_jobs: Jobs that are cancelled on record or were reported as cancelled by peers.
+        partitions: Zone, owner's node and epoch of each partition.
+        copy_age_s: Age of the copy in seconds, used if the state service is not reachable. The lists are complete up
+            to that time before the answer and include every cancellation that the sender's own process has confirmed
+            since. Negative if the sender attests to nothing, since it has never read the state service or the records
+            are being rebuilt. Earlier versions leave out this field and then send empty lists.
+        uptime_s: Seconds since the sender's process started.
     """
 
     node: str
@@ -35,18 +49,23 @@
 
 
 class JobsCancelled(Struct, tag="cancelled", array_like=True):
-    """Jobs whose cancellation the sender is about to confirm to their users."""
+    """Jobs whose cancellation is committed. Sent before the cancellation is confirmed to the user."""
 
     jobs: list[str]
 
 
 class Load(Struct, tag="load", array_like=True):
-    """The sender's recent writes per second, and whether more are queued: unused shares of rates are lent by this.
-
-    `unregistered_machines` counts, by zone, the workers that sent heartbeats to the sender in the last seconds though
-    another controller owns their zone. `released_machines` are those that it released and that are still on record.
-    `throttled_writes` counts the transactions that the state service refused it for their rate (an older version leaves
-    it out, and ignores it).
+    """The sender's load. The controllers lend each other the unused shares of their write rates according to it.
+
+    Attributes:
+        node: Node of the sender.
+        writes: Recent changes per second that the sender wrote to the state service.
+        backlogged: Whether more changes are queued at the sender.
+        unregistered_machines: By zone, the number of workers that recently sent heartbeats to the sender although
+            another controller owns their zone.
+        released_machines: Machines that the sender released and that are still on record.
+        throttled_writes: Transactions of the sender that the state service refused by its rate limit since the process
+            started. Earlier versions neither send nor read this field.
     """
 
     node: str
@@ -64,7 +83,7 @@
 
 
 def decode(frame: bytes) -> PeerMessage | None:
-    """A peer's frame, or None if it can't be read."""
+    """Decodes a frame of a peer controller; None if it is malformed or of an unknown type."""
     try:
         message: PeerMessage = _decoder.decode(frame)
         return message
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -1,6 +1,9 @@
 """Messages between controllers while the state service's data is rebuilt: tagged tuples in MessagePack.
 
-A controller of a version without recovery can't read them, by which the others recognize it.
+A controller of a version without recovery can't decode them and answers with a message that is not of this module;
+its peers detect the earlier version by that.
+
+A history is one generation of the records in the state service; a rebuild after data loss opens the next one.
 """
 
 from __future__ import annotations
@@ -12,7 +15,7 @@
 
 
 class StoredRecord(Struct, array_like=True):
-    """A record as some copy holds it: its key, the revision of its last change, and its value as JSON."""
+    """A record in a copy of a history: its key, the revision of its last change, and its value as JSON."""
 
     key: str
     version: int
@@ -20,13 +23,20 @@
 
 
 class RevisionRequest(Struct, tag="revision?", array_like=True):
-    """Asks for the newest revision that the receiver has seen, and of which history."""
+    """Requests a `RevisionAnswer`."""
 
     node: str
 
 
 class RevisionAnswer(Struct, tag="revision", array_like=True):
-    """The history that the sender works in, or last worked in; the name is empty if it knows none."""
+    """The history that the sender uses, or used last.
+
+    Attributes:
+        node: Node of the sender.
+        history: Name of the history; empty if there is none.
+        number: Sequence number of the history.
+        revision: Highest revision of the state service that the sender has seen.
+    """
 
     node: str
     history: str
@@ -35,7 +45,7 @@
 
 
 class EvidenceRequest(Struct, tag="evidence?", array_like=True):
-    """Asks for a page of what the receiver's copy of a lost history holds, from a position on."""
+    """Requests the records of the receiver's copy of a history whose data was lost, from `position` on."""
 
     node: str
     history: str
@@ -43,10 +53,19 @@
 
 
 class EvidencePage(Struct, tag="evidence", array_like=True):
-    """A page of a copy of a lost history.
-
-    Only a copy that is `closed` changes no more; one that is not `loaded` holds nothing. The copy has missed no change
-    between `since` and `revision`. `position` is where the next page begins, 0 after the last.
+    """A page of the sender's copy of a history whose data was lost.
+
+    Attributes:
+        node: Node of the sender.
+        process_incarnation: Unique id of the sender's process.
+        history: Name of the history.
+        closed: Whether the sender has stopped using the history. Until then the copy may change, and the page has no
+            records.
+        loaded: Whether the sender had read the records; if not, the copy has none.
+        since: Revision after which the copy has missed no change.
+        revision: Newest revision that the copy includes.
+        records: Records of this page.
+        position: Position of the next page; 0 after the last.
     """
 
     node: str
@@ -61,7 +80,7 @@
 
 
 class HeartbeatsRequest(Struct, tag="reports?", array_like=True):
-    """Asks for the heartbeats after the first `after` ones that answered a fencing token of an epoch."""
+    """Requests the collected heartbeats that carry the fencing token of `epoch`, from position `after` on."""
 
     node: str
     epoch: int
@@ -69,7 +88,14 @@
 
 
 class HeartbeatsPage(Struct, tag="reports", array_like=True):
-    """The newest heartbeats, how many have come so far, and the highest partition epoch that any worker showed."""
+    """A page of the collected heartbeats.
+
+    Attributes:
+        heartbeats: The newest heartbeat of each worker in this page.
+        position: Position after this page, for the next request.
+        highest_epoch: Highest epoch in the fencing tokens that workers sent to the sender, other than that of the
+            rebuild in progress.
+    """
 
     heartbeats: list[Heartbeat]
     position: int
@@ -83,7 +109,7 @@
 
 
 def decode(frame: bytes) -> RecoveryMessage | None:
-    """A peer's frame, or None if it is no message of this kind."""
+    """Decodes a frame of a peer controller; None if it is no recovery message."""
     try:
         message: RecoveryMessage = _decoder.decode(frame)
         return message
--- a/spurarch/protocol/wire.py
+++ b/spurarch/protocol/wire.py
@@ -1,6 +1,6 @@
-"""Messages of the published protocols, and the only place that knows their names on the wire.
+"""Messages of the published protocols, spoken with users, workers, the cloud and the state service.
 
-The rest of the code uses common terms; the field names given here map them to the platform's words.
+The protocols have field names of their own. Each `field(name=...)` maps one to the name that the rest of the code uses.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 
 T = TypeVar("T")
 
-MAX_TASKS = 100_000
+MAX_TASKS = 100_000  # of one job
 JOB_ID_PATTERN = re.compile(r"job-[0-9]{1,24}")
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Name = Annotated[str, Meta(min_length=1, max_length=160)]
 
+# Paths of the HTTP interfaces; those without a leading slash are the last segment of a path.
 PATH_JOBS = "/submissions"
 PATH_CANCEL = "cancel"
 PATH_HEALTH = "/up"
@@ -35,21 +36,25 @@
 PATH_GRANTS = "/grants"
 PATH_EXTEND = "extend"
 
+# Kinds, priorities and states of jobs
 BATCH, GANG, SERVICE = "batch", "gang", "daemon"
 PRIORITIES = {"production": 0, "high": 1, "normal": 2, "low": 3}
 QUEUED, RUNNING, DONE, CANCELLED = "pending", "running", "done", "aborted"
 
+# States of task attempts in heartbeats, and reasons of their exit
 FETCHING, GATHERING, CHECKPOINTING, EXITED = "fetching", "gathering", "saving", "ended"
 REASON_DONE, REASON_ERROR, REASON_STOPPED = "done", "error", "halted"
 REASON_PEER_LOST, REASON_GANG_INCOMPLETE = "peers", "incomplete"
 REASON_NO_CAPACITY, REASON_TASK_PRESENT, REASON_UNKNOWN_TASK = "full", "in_use", "no_such"
 
+# Commands to workers
 START, STOP, FORGET = "run", "halt", "forget"
+# States of machines in the cloud's list
 BOOTING, FAILED = "booting", "failed"
 
 
 class Submission(Struct, forbid_unknown_fields=False):
-    """A job as its user submits it, and as the store keeps it."""
+    """A job as submitted by its user and as stored in the job's record."""
 
     id: Name = field(name="ref")
     job_class: Annotated[str, Meta(max_length=200)] = field(name="circuit")
@@ -74,13 +79,13 @@
 
 
 class SubmittedTeam(Struct):
-    """The team of a submission, for records that can't be read otherwise."""
+    """The team of a submission, decoded alone where the rest of a record can't be decoded."""
 
     team: str = field(name="crew")
 
 
 class JobState(Struct, omit_defaults=True):
-    """A job's state, as answered to users; counts are of tasks."""
+    """A job's state in responses to users. `done` and `running` are numbers of tasks."""
 
     id: str = field(name="ref")
     state: str = field(name="standing")
@@ -99,7 +104,7 @@
 
 
 class Heartbeat(Struct):
-    """A worker's heartbeat."""
+    """A worker's heartbeat. `seq` increases with every message that the worker sends in one incarnation."""
 
     machine: Name = field(name="croft")
     addr: Name
@@ -123,20 +128,20 @@
 
 
 class HeartbeatResponse(Struct):
-    """The answer to a heartbeat."""
+    """The response to a heartbeat."""
 
     fencing_token: int = field(name="baton")
     commands: list[Command] = field(name="orders")
 
 
 class Redirect(Struct, omit_defaults=True):
-    """Redirects a worker to the controller that owns its partition."""
+    """Redirects a worker to the controller that owns its partition; without `node`, to any other controller."""
 
     node: str | None = field(name="steward", default=None)
 
 
 class DirectCommands(Struct):
-    """Commands sent to a worker's own address."""
+    """Commands sent directly to a worker's address, without waiting for its next heartbeat."""
 
     fencing_token: int = field(name="baton")
     incarnation: int = field(name="tenure")
@@ -144,7 +149,7 @@
 
 
 class MachineType(Struct):
-    """One type on the cloud's price list."""
+    """A machine type in the cloud's price list."""
 
     name: Name = field(name="sku")
     cpus: Amount = field(name="vcpus")
@@ -165,7 +170,7 @@
 
 
 class ScaleOutRequest(Struct):
-    """A request for machines."""
+    """A request to the cloud for machines."""
 
     request_id: str = field(name="hire")
     type: str = field(name="build")
@@ -175,13 +180,13 @@
 
 
 class MachineNames(Struct):
-    """Names of machines: granted by a scale-out, or to be released."""
+    """Names of machines: those that a scale-out request returned, or those to release."""
 
     machines: list[str] = field(name="crofts")
 
 
 class ListedMachine(Struct):
-    """One machine in the cloud's list."""
+    """A machine in the cloud's list."""
 
     id: Name = field(name="ref")
     addr: str
@@ -193,14 +198,14 @@
 
 
 class MachineList(Struct):
-    """A page of the cloud's list."""
+    """A page of the cloud's list of machines."""
 
     machines: list[ListedMachine] = field(name="crofts")
     more: bool = field(name="has_next", default=False)
 
 
 class Item(Struct):
-    """A key of the state service; the value stays undecoded until its kind is known."""
+    """A key of the state service. The value is decoded later, by the record type that belongs to the key."""
 
     key: str
     value: msgspec.Raw
@@ -217,7 +222,7 @@
 
 
 class Event(Struct):
-    """One change seen by a watch: a put, or a deletion."""
+    """A change in the response of a watch: a put or a deletion."""
 
     version: int = field(name="stamp")
     put: str | None = field(name="write", default=None)
@@ -226,14 +231,14 @@
 
 
 class Changes(Struct):
-    """Answer of a watch."""
+    """Response of a watch: the changes after a revision."""
 
     revision: int = field(name="ledger")
     events: list[Event] = field(name="news")
 
 
 class Guard(Struct):
-    """A condition of a transaction."""
+    """A guard of a transaction: the revision that the key's last change must have, 0 if the key must not exist."""
 
     key: str
     version: int = field(name="stamp")
@@ -261,14 +266,14 @@
 
 
 class TxnAnswer(Struct):
-    """Revision of a transaction, or the guards that failed."""
+    """Response to a transaction: its revision, or the keys of the guards that failed."""
 
     revision: int = field(name="ledger")
     failed: list[str] = []
 
 
 class GrantRequest(Struct):
-    """A request to the state service for a lease."""
+    """A request to the state service to grant a lease."""
 
     ttl_ms: int = field(name="life_ms")
 
@@ -280,7 +285,7 @@
 
 
 class ErrorBody(Struct):
-    """An error as JSON."""
+    """Body of an error response."""
 
     error: str
 
@@ -299,22 +304,22 @@
 
 
 def query(**fields: object) -> str:
-    """Query string of a call to the state service or the cloud; None leaves a parameter out."""
+    """Returns the query string of a call to the state service or the cloud; parameters that are None are left out."""
     names = {"prefix": "prefix", "after": "from", "limit": "most", "wait_ms": "wait_ms"}
     return "&".join(f"{names[name]}={value}" for name, value in fields.items() if value is not None)
 
 
-TASK_NAMES_KEPT = 16_384  # split once: every heartbeat names all tasks of a machine
+TASK_NAME_CACHE_SIZE = 16_384  # a cache pays off because every heartbeat names all tasks of a machine
 
 
 def task_name(job: str, index: int) -> str:
-    """Name of a task."""
+    """Returns the name of a task on the wire."""
     return f"{job}/{index}"
 
 
-@lru_cache(TASK_NAMES_KEPT)
+@lru_cache(TASK_NAME_CACHE_SIZE)
 def split_task(name: str) -> tuple[str, int] | None:
-    """Job and index of a task by its name, or None if the name is malformed."""
+    """Returns job and index of a task by its name; None if the name is malformed."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdigit() or len(index) > 6:
         return None
