--- a/spurarch/transport/__init__.py
+++ b/spurarch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Bottom layer: connections, framing and time limits. Knows nothing of jobs or machines."""
+"""Lowest layer: connections, framing and timeouts. Independent of jobs and machines."""
--- a/spurarch/transport/frames.py
+++ b/spurarch/transport/frames.py
@@ -1,4 +1,4 @@
-"""The peer channel between controllers: length-prefixed frames, one request and one answer at a time."""
+"""The channel between peer controllers: length-prefixed frames, one request and its response at a time."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from spurarch.transport import sockets
 
-MAX_FRAME = 1024 * 1024  # bytes: peers tell each other of every cancelled job that is not terminal
-IDLE_S = 60.0
+MAX_FRAME = 1024 * 1024  # bytes; the answer to a ping lists every cancelled job that is not terminal
+FRAME_TIMEOUT_S = 60.0  # to read or write a frame; also closes idle connections
 
 
 async def _read_exactly(sock: curio.io.Socket, size: int) -> bytes:
-    parts = []
+    chunks = []
     while size:
         data = await sock.recv(min(size, 65536))
         if not data:
-            raise ConnectionResetError("peer closed the back channel")
-        parts.append(data)
+            raise ConnectionResetError("peer controller closed the connection")
+        chunks.append(data)
         size -= len(data)
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 async def read_frame(sock: curio.io.Socket) -> bytes:
-    """Reads one frame, refusing one over the bound."""
+    """Reads one frame. Raises ConnectionResetError at the end of the connection or if the frame exceeds MAX_FRAME."""
     size = int.from_bytes(await _read_exactly(sock, 4), "big")
     if size > MAX_FRAME:
-        raise ConnectionResetError("frame too large")
+        raise ConnectionResetError("peer controller sent a frame longer than MAX_FRAME")
     return await _read_exactly(sock, size)
 
 
@@ -37,24 +37,27 @@
 
 
 class FrameServer:
-    """Answers frames on one address."""
+    """Serves frames on one address, over at most `max_open` connections."""
 
     def __init__(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> None:
         self._address = sockets.split_address(address)
-        self._handler, self._max = handler, max_open
+        self._handler, self._max_open = handler, max_open
 
     async def run(self) -> None:
         """Accepts connections until cancelled."""
-        await sockets.serve(self._address, self._client, self._max)
+        await sockets.serve(self._address, self._serve_connection, self._max_open)
 
-    async def _client(self, sock: curio.io.Socket) -> None:
+    async def _serve_connection(self, sock: curio.io.Socket) -> None:
         while True:
-            frame = await curio.timeout_after(IDLE_S, read_frame, sock)
-            await curio.timeout_after(IDLE_S, write_frame, sock, await self._handler(frame))
+            frame = await curio.timeout_after(FRAME_TIMEOUT_S, read_frame, sock)
+            await curio.timeout_after(FRAME_TIMEOUT_S, write_frame, sock, await self._handler(frame))
 
 
 class FrameClient:
-    """Sends frames to one peer over one kept connection; a failure closes it and the next call opens a new one."""
+    """Sends frames to one peer controller over a persistent connection.
+
+    A failed call closes the connection; the next call opens a new one.
+    """
 
     def __init__(self, address: str) -> None:
         self._address = sockets.split_address(address)
@@ -62,7 +65,7 @@
         self._lock = curio.Lock()
 
     async def call(self, frame: bytes, timeout_s: float) -> bytes | None:
-        """Returns the peer's answer, or None if none came in time."""
+        """Sends a request frame and returns the response; None on a network error or after `timeout_s` seconds."""
         try:
             async with curio.timeout_after(timeout_s), self._lock:
                 try:
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over curio sockets: one server loop and one pooled client."""
+"""HTTP/1.1 over curio sockets: a server and a client with a connection pool."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from spurarch.errors import SpurarchError
 from spurarch.transport import sockets
 from spurarch.transport.http_messages import (
-    CONTINUE,
+    CONTINUE_RESPONSE,
     Handler,
     MessageError,
     Request,
@@ -26,17 +26,17 @@
 
 log = logging.getLogger(__name__)
 
-READ_SIZE = 16384
-ANSWER_READ_SIZE = 65536  # the state service's answers may be long
-IDLE_CONNECTION_S = 120.0
-SLOW_REQUEST_S = 10.0
-FIRST_REQUEST_S = 2.0  # after this, a connection without a request gives way to a new one
-SWEEP_INTERVAL_S = 1.0
-KEEP_ALIVE_S = 20.0  # how long a client keeps an idle connection
+REQUEST_READ_BYTES = 16384
+RESPONSE_READ_BYTES = 65536  # responses of the state service may be long
+IDLE_CONNECTION_S = 120.0  # timeout of a server connection between two requests
+SLOW_REQUEST_S = 10.0  # timeout for the first bytes of a connection and for the rest of a request
+FIRST_REQUEST_S = 2.0  # age from which a connection that has sent nothing may be closed in favor of a new one
+SWEEP_INTERVAL_S = 1.0  # between two checks of the read deadlines
+CLIENT_KEEP_ALIVE_S = 20.0  # age from which a client closes an idle connection instead of reusing it
 
 
 class NoAnswerError(SpurarchError):
-    """No usable answer came to a request. `sent` is false only if the request certainly never left this process."""
+    """A request got no usable response. `sent` is False only if no part of the request was sent."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -44,7 +44,7 @@
 
 
 class _ServerConnection:
-    """One connection of the server, and until when its client may take to send more."""
+    """A server connection and the deadline for reading more from it."""
 
     __slots__ = ("began", "idle", "parser", "read_by", "served", "sock", "task")
 
@@ -52,27 +52,27 @@
         self.sock, self.task = sock, task
         self.parser = RequestParser()
         self.began = time.monotonic()
-        self.served = False  # a request has come
-        self.idle = False  # it has been answered, and nothing more has come
-        self.read_by = float("inf")
+        self.served = False  # a complete request has been received
+        self.idle = False  # all requests have been answered and no byte of the next one has been received
+        self.read_by = float("inf")  # deadline by the monotonic clock; infinite while a request is being handled
 
-    def is_silent(self, now: float) -> bool:
-        """The client connected a while ago and has sent nothing since."""
+    def is_first_request_overdue(self, now: float) -> bool:
+        """Whether the client has sent nothing within FIRST_REQUEST_S after it connected."""
         return not self.served and not self.parser.started and now - self.began > FIRST_REQUEST_S
 
 
 class HttpServer:
-    """Serves one address.
+    """Serves one address over at most `max_connections` connections.
 
-    With more clients than connections, the one that has been idle for longest gives way to a new one, so that none is
-    shut out: a fleet may have more workers than a controller has sockets.
+    A fleet may have more workers than a controller has sockets. When all connections are open, a new one replaces the
+    one that has been idle for longest, so that every worker is served.
     """
 
     def __init__(self, address: str, handler: Handler, max_connections: int) -> None:
         self._address = sockets.split_address(address)
         self._handler = handler
         self._max_connections = max_connections
-        self._connections: dict[_ServerConnection, None] = {}  # in the order of their latest requests
+        self._connections: dict[_ServerConnection, None] = {}  # least recently used first
 
     async def run(self) -> None:
         """Accepts connections until cancelled."""
@@ -83,16 +83,22 @@
             await sweeper.cancel()
 
     async def _end_idlest(self) -> None:
-        """Ends one connection; those without a request go first, so that a flood of them costs workers little."""
+        """Closes one unused connection, if any.
+
+        Those that never sent anything are closed first, so that many of them don't displace the workers' connections.
+        """
         now = time.monotonic()
-        silent = (connection for connection in self._connections if connection.is_silent(now))
+        unused = (connection for connection in self._connections if connection.is_first_request_overdue(now))
         idle = (connection for connection in self._connections if connection.idle)
-        connection = next(silent, None) or next(idle, None)
+        connection = next(unused, None) or next(idle, None)
         if connection is not None:
             await connection.task.cancel()
 
     async def _end_slow(self) -> None:
-        """Ends connections whose clients are late. One timer serves all: a timeout costs more than the wait itself."""
+        """Closes connections whose read deadline has passed.
+
+        One timer checks all connections, because a timeout for each read takes more processor time than the read.
+        """
         while True:
             await curio.sleep(SWEEP_INTERVAL_S)
             now = time.monotonic()
@@ -125,14 +131,14 @@
             return error_response(500, "internal error")
 
     async def _read(self, connection: _ServerConnection) -> Request | None:
-        """The next request, or None if the client has closed the connection."""
+        """Returns the next request; None if the client has closed the connection. Raises MessageError."""
         parser, sock = connection.parser, connection.sock
         request = parser.next_request()
         if request is not None:
             connection.idle = False
             return request
         connection.read_by = time.monotonic() + (IDLE_CONNECTION_S if connection.served else SLOW_REQUEST_S)
-        data = await sock.recv(READ_SIZE)
+        data = await sock.recv(REQUEST_READ_BYTES)
         connection.idle = False
         connection.read_by = time.monotonic() + SLOW_REQUEST_S
         while data:
@@ -143,15 +149,15 @@
                 connection.read_by = float("inf")
                 return request
             if parser.wants_continue():
-                await sock.sendall(CONTINUE)
-            data = await sock.recv(READ_SIZE)
+                await sock.sendall(CONTINUE_RESPONSE)
+            data = await sock.recv(REQUEST_READ_BYTES)
         if parser.started:
             raise MessageError(400, "incomplete request")
         return None
 
 
 class _PooledConnection:
-    """One kept connection of a client."""
+    """A persistent connection of a client."""
 
     __slots__ = ("idle_since", "sock")
 
@@ -161,7 +167,7 @@
 
 
 class _RequestProgress:
-    """Whether some of a request may have left this process."""
+    """Whether a part of a request may have been sent."""
 
     __slots__ = ("sent",)
 
@@ -170,17 +176,20 @@
 
 
 class HttpClient:
-    """A client of one address with a few kept connections and a limit on every wait."""
+    """A client of one address with a pool of persistent connections and a timeout for every request."""
 
-    def __init__(self, address: str, max_connections: int = 8, connect_s: float = 1.0) -> None:
+    def __init__(self, address: str, max_connections: int = 8, connect_timeout_s: float = 1.0) -> None:
         self._address = sockets.split_address(address)
         self._host = address
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._idle: list[_PooledConnection] = []
         self._slots = curio.Semaphore(max_connections)
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Sends one request and returns status and body, or raises NoAnswerError."""
+        """Sends one request and returns status and body.
+
+        Raises NoAnswerError without a usable response within `timeout_s` seconds, including the wait for a connection.
+        """
         try:
             message = render_request(method, self._host, target, body)
         except ValueError as err:
@@ -195,7 +204,7 @@
             raise NoAnswerError(repr(err), progress.sent) from None
 
     async def aclose(self) -> None:
-        """Closes the kept connections, once no request is under way."""
+        """Closes the idle connections. To be called when no request is in progress."""
         while self._idle:
             await self._idle.pop().sock.close()
 
@@ -206,7 +215,7 @@
             progress.sent = True
             await connection.sock.sendall(message)
             while not parser.complete:
-                parser.feed(await connection.sock.recv(ANSWER_READ_SIZE))
+                parser.feed(await connection.sock.recv(RESPONSE_READ_BYTES))
             return parser.status, parser.body
         finally:
             if parser.keep_alive:
@@ -219,7 +228,7 @@
         now = time.monotonic()
         while self._idle:
             connection = self._idle.pop()
-            if now - connection.idle_since < KEEP_ALIVE_S:
+            if now - connection.idle_since < CLIENT_KEEP_ALIVE_S:
                 return connection
             await connection.sock.close()
-        return _PooledConnection(await sockets.connect(self._address, self._connect_s))
+        return _PooledConnection(await sockets.connect(self._address, self._connect_timeout_s))
--- a/spurarch/transport/network.py
+++ b/spurarch/transport/network.py
@@ -1,4 +1,4 @@
-"""All access to the network in one place, so that tests can replace it by a simulated network."""
+"""Creates all network clients and servers, so that tests can replace them by a simulated network."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 from spurarch.transport.frames import FrameClient, FrameServer
 from spurarch.transport.http import Handler, HttpClient, HttpServer
 
-BROADCAST_TIMEOUT_S = 0.5  # of each receiver
+BROADCAST_TIMEOUT_S = 0.5  # for each receiver
 
 
 class Requests(Protocol):
-    """A client of one address."""
+    """An HTTP client of one address."""
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Sends one request and returns status and body, or raises NoAnswerError."""
+        """Sends one request and returns status and body. Raises NoAnswerError."""
 
 
 class Calls(Protocol):
-    """A client of a peer's back channel."""
+    """A client of a peer controller's frame channel."""
 
     async def call(self, frame: bytes, timeout_s: float) -> bytes | None:
-        """Returns the peer's answer, or None if none came in time."""
+        """Sends a request frame and returns the response; None on a network error or after `timeout_s` seconds."""
 
 
 async def broadcast(clients: Iterable[Calls], frame: bytes) -> None:
-    """Sends a frame to all peers without waiting for their answers; it may be lost on the way to any of them."""
+    """Sends a frame to all peers without waiting for their responses. Delivery is not guaranteed."""
     for client in clients:
         await curio.spawn(client.call, frame, BROADCAST_TIMEOUT_S, daemon=True)
 
 
 class Service(Protocol):
-    """Something that serves until it is cancelled."""
+    """A server."""
 
     async def run(self) -> None:
-        """Serves."""
+        """Serves until cancelled."""
 
 
 class Network:
-    """Real sockets."""
+    """Clients and servers on real sockets."""
 
     def client(self, address: str, max_connections: int) -> Requests:
-        """A client with a few kept connections."""
+        """Returns an HTTP client with at most `max_connections` persistent connections."""
         return HttpClient(address, max_connections)
 
     def server(self, address: str, handler: Handler, max_connections: int) -> Service:
-        """A server of the published protocol."""
+        """Returns a server of the published HTTP interface."""
         return HttpServer(address, handler, max_connections)
 
     def back_client(self, address: str) -> Calls:
-        """A client of a peer."""
+        """Returns a client of a peer controller."""
         return FrameClient(address)
 
     def back_server(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> Service:
-        """A server for the peers."""
+        """Returns a server for the peer controllers."""
         return FrameServer(address, handler, max_open)
