--- a/deploy/features.sexp
+++ b/deploy/features.sexp
@@ -1,4 +1,4 @@
-; What is off unless an installation asks for it: run.py serve --config FILE --tuning deploy/features.sexp
+; Optional features, which are off by default. Use: run.py serve --config FILE --tuning deploy/features.sexp
 ((recovery t)
  (installation "main")
  (archive-address "127.0.0.1:8090")
--- a/deploy/precompile.py
+++ b/deploy/precompile.py
@@ -1,6 +1,6 @@
-"""Part of the build: keeps the bytecode of everything that a controller imports under target/pyc.
+"""Build step: stores the bytecode of all modules that a controller imports under target/pyc.
 
-A controller can't write there itself, and would compile every module anew at each start.
+A controller has no write access to target/ and would otherwise compile every module at each start.
 """
 
 import os
@@ -9,7 +9,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path.insert(0, ROOT)
 
-import run  # noqa: E402, F401 (sets the paths that a controller has; what is imported before is not kept)
+import run  # noqa: E402, F401 (sets the paths of a controller; bytecode of modules imported earlier is not stored)
 from spurarch import cli  # noqa: E402
 
 if __name__ == "__main__":
--- a/run.py
+++ b/run.py
@@ -1,17 +1,17 @@
-"""Starts spurarch from a checkout, with the dependencies and the bytecode that the build put under target/."""
+"""Starts spurarch from a checkout, with the dependencies and the bytecode that the build stored under target/."""
 
 import gc
 import os
 import sys
 
-gc.disable()  # nothing that is loaded at the start is ever garbage; the controller turns it on again
+gc.disable()  # no object that is created by the imports is garbage; `spurarch.cli` enables collection again
 ROOT = os.path.dirname(os.path.abspath(__file__))
 sys.path.insert(0, os.path.join(ROOT, "target", "deps"))
-# deploy/precompile.py puts the bytecode of everything that a controller imports here, that of the standard library
-# included: with a prefix set, Python looks for bytecode nowhere else, and compiling takes ten times as long as loading.
+# deploy/precompile.py stores the bytecode of all modules that a controller imports here, those of the standard library
+# included. With a prefix set, Python searches for bytecode nowhere else; compiling takes ten times as long as loading.
 sys.pycache_prefix = os.path.join(ROOT, "target", "pyc")
 
-from spurarch.cli import main  # noqa: E402 (the path has to be set first)
+from spurarch.cli import main  # noqa: E402 (sys.path must be set first)
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -1,4 +1,4 @@
-"""The command line. Only what a command needs is imported, so that a controller starts fast."""
+"""The command line. Each command imports only the modules that it needs, so that a controller starts fast."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
     from spurarch.coordination.controller import Controller
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 REQUEST_TIMEOUT_S = 5.0
 FIRST_ERROR_STATUS = 400
-GC_ALLOCATIONS = 20_000
+GC_GENERATION_0_THRESHOLD = 20_000
 
 
 class ExitCode(enum.IntEnum):
@@ -31,19 +31,19 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The parser of all commands. Without a command, `--config FILE` serves."""
+    """Returns the parser of all commands. Without a command, `--config FILE` runs a controller."""
     import argparse
 
     parser = argparse.ArgumentParser(prog="spurarch", description="A cluster scheduler run by a few controllers.")
     parser.add_argument("--version", action="version", version=f"spurarch {__version__}")
-    _add_settings(parser, required=False)
+    _add_settings_options(parser, required=False)
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     for name, text in (
         ("serve", "run a controller (the default)"),
         ("check", "check settings and exit"),
         ("settings", "print the settings in force"),
     ):
-        _add_settings(commands.add_parser(name, help=text, description=text), required=True)
+        _add_settings_options(commands.add_parser(name, help=text, description=text), required=True)
     submit = commands.add_parser("submit", help="submit a job from a JSON file, or - for standard input")
     submit.add_argument("file")
     show = commands.add_parser("show", help="show a job")
@@ -52,48 +52,49 @@
         command.add_argument("ref")
     for command in (submit, show, cancel):
         command.add_argument("--node", required=True, metavar="IP:PORT", help="a controller's public address")
-    _add_operators(commands)
+    _add_operator_commands(commands)
     return parser
 
 
-def _add_operators(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Commands of operators' machines; those that need libraries of their own are left out where these are missing."""
+def _add_operator_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
+    """Adds the operators' commands. Those of the archive are left out if their libraries are not installed."""
     from spurarch.recovery import commands as recovery
 
     recovery.add_parser(commands)
     try:
         from spurarch.archive import commands as archive
     except ImportError:
-        return  # requirements-operators.txt is not installed here
+        return  # the packages of requirements-operators.txt are not installed
     archive.add_parser(commands)
 
 
-def _add_settings(parser: argparse.ArgumentParser, required: bool) -> None:
+def _add_settings_options(parser: argparse.ArgumentParser, required: bool) -> None:
     parser.add_argument("--config", metavar="FILE", required=required, help="the platform's TOML file")
     parser.add_argument("--tuning", metavar="FILE", help="operators' settings, S-expressions")
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs a command; returns its exit code."""
+    """Runs a command and returns its exit code."""
     arguments = sys.argv[1:] if argv is None else argv
     if len(arguments) == 2 and arguments[0] == "--config":
-        return _run(None, arguments[1], None)  # as the platform starts a controller: no parser has to be built for that
+        # The platform starts controllers by this command line; a controller starts faster without building the parser.
+        return _run_with_settings(None, arguments[1], None)
     parser = build_parser()
     args = parser.parse_args(arguments)
     if args.command in ("submit", "show", "cancel"):
-        return _request(args)
+        return _send_user_request(args)
     if args.command in ("archive", "recovery"):
-        return _operate(args)
+        return _run_operator_command(args)
     if args.config is None:
         parser.error("--config FILE or a command is needed")
-    return _run(args.command, args.config, args.tuning)
+    return _run_with_settings(args.command, args.config, args.tuning)
 
 
-def _run(command: str | None, config: str, tuning_file: str | None) -> int:
-    """Runs a command that needs the settings; without a name, a controller."""
+def _run_with_settings(command: str | None, config: str, tuning_file: str | None) -> int:
+    """Runs `command`, one of those that need the settings; None runs a controller."""
     try:
         platform, tuning = load_platform(config), load_tuning(tuning_file)
-        level = _level()
+        level = _log_level()
     except SettingsError as err:
         print(f"spurarch: {err}", file=sys.stderr)
         return ExitCode.USAGE
@@ -105,15 +106,15 @@
     return _serve(platform, tuning, level)
 
 
-def _level() -> int:
+def _log_level() -> int:
     name = os.environ.get("LOG_LEVEL", "info").lower()
-    if name not in LEVELS:
-        raise SettingsError(f"environment: LOG_LEVEL: expected one of {', '.join(LEVELS)}")
-    return LEVELS[name]
+    if name not in LOG_LEVELS:
+        raise SettingsError(f"environment: LOG_LEVEL: expected one of {', '.join(LOG_LEVELS)}")
+    return LOG_LEVELS[name]
 
 
 def load_controller() -> type[Controller]:
-    """Imports what a controller needs to answer workers, and nothing else."""
+    """Imports only the modules that a controller needs to answer workers, and returns its class."""
     from spurarch.transport import slim_curio
 
     slim_curio.install()
@@ -124,7 +125,7 @@
 
 def _serve(platform: Platform, tuning: Tuning, level: int) -> int:
     logging.basicConfig(level=level, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
-    # curio warns whenever a wait ends just as its limit does, which is harmless and common on a busy core.
+    # curio warns if an operation completes just as its timeout expires, which is harmless and common on a busy core.
     logging.getLogger("curio").setLevel(logging.ERROR)
     scarce = platform.deployment.limits.scarce()
     if scarce:
@@ -134,8 +135,8 @@
 
     import curio
 
-    # Records live long and form no cycles; scanning all of them over and over would take much processor time.
-    gc.set_threshold(GC_ALLOCATIONS, 20, 50)
+    # Records are long-lived and form no reference cycles; scanning them frequently would waste processor time.
+    gc.set_threshold(GC_GENERATION_0_THRESHOLD, 20, 50)
     gc.freeze()
     gc.enable()
 
@@ -151,18 +152,18 @@
     return ExitCode.FAILED
 
 
-def _operate(args: argparse.Namespace) -> int:
-    """Runs an operators' command."""
+def _run_operator_command(args: argparse.Namespace) -> int:
+    """Runs a command of the operators and returns its exit code."""
     from importlib import import_module
 
-    level = logging.WARNING if "LOG_LEVEL" not in os.environ and args.action != "run" else LEVELS["info"]
+    level = logging.WARNING if "LOG_LEVEL" not in os.environ and args.action != "run" else LOG_LEVELS["info"]
     logging.basicConfig(level=level, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
     result: int = import_module(f"spurarch.{args.command}.commands").run_command(args)
     return result
 
 
 def _serve_with_recovery(platform: Platform, tuning: Tuning) -> None:
-    """Runs controllers one after the other: each begins in the history of records that is in force by then."""
+    """Runs one controller after another, without end. Each uses the history of records in force when it starts."""
     import curio
 
     from spurarch.recovery.launch import controller_with_recovery
@@ -184,7 +185,7 @@
 
 
 def _read_submission(path: str) -> bytes:
-    """A job's JSON from a file, or from standard input for `-`."""
+    """Returns a job's JSON from a file, or from standard input if `path` is `-`."""
     if path == "-":
         return sys.stdin.buffer.read()
     with open(path, "rb") as file:
@@ -192,15 +193,15 @@
 
 
 class _UserRequest(NamedTuple):
-    """An HTTP request that a command makes on behalf of a user."""
+    """An HTTP request that a command sends for a user."""
 
     method: str
     target: str
     body: bytes | None
 
 
-def _user_request(args: argparse.Namespace) -> _UserRequest:
-    """The request of a command; raises OSError if its file can't be read."""
+def _build_user_request(args: argparse.Namespace) -> _UserRequest:
+    """Returns the request of a command. Raises OSError if its file can't be read."""
     from spurarch.protocol import wire
 
     if args.command == "submit":
@@ -210,14 +211,14 @@
     return _UserRequest("POST", f"{wire.PATH_JOBS}/{args.ref}/{wire.PATH_CANCEL}", b"{}")
 
 
-def _request(args: argparse.Namespace) -> int:
-    """Sends a user's request to a controller and prints the answer."""
+def _send_user_request(args: argparse.Namespace) -> int:
+    """Sends a user's request to a controller, prints the response and returns the exit code."""
     import curio
 
     from spurarch.transport.http import HttpClient, NoAnswerError
 
     try:
-        request = _user_request(args)
+        request = _build_user_request(args)
     except OSError as err:
         print(f"spurarch: {args.file}: {err.strerror}", file=sys.stderr)
         return ExitCode.USAGE
--- a/spurarch/errors.py
+++ b/spurarch/errors.py
@@ -1,11 +1,11 @@
-"""The root of the project's exceptions.
+"""Base class of the project's exceptions.
 
-Each layer derives its own errors from `SpurarchError` and defines them beside the code that raises them. A message says
-what failed, of which object (a file, an address, a key), and what to do where that is not plain.
+Each layer derives its own errors from `SpurarchError` and defines them next to the code that raises them. A message
+names the operation that failed, its object (a file, an address, a key) and, unless it is obvious, the remedy.
 """
 
 from __future__ import annotations
 
 
 class SpurarchError(Exception):
-    """Base class of all errors that this package raises on purpose."""
+    """Base class of all errors that this package defines."""
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -1,4 +1,4 @@
-"""Settings: the platform's file (TOML) and the operators' tuning file (S-expressions), validated on reading."""
+"""Settings: the platform's file (TOML) and the operators' tuning file (S-expressions), both validated on loading."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 NotNegative = Annotated[float, Meta(ge=0)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Address = Annotated[str, Meta(pattern=r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}$")]
-GUARDS_PER_CHANGE = 4  # the state service allows that many conditions for every change that a transaction may have
-Text = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\s/]+$")]
+GUARDS_PER_CHANGE = 4  # guards that the state service accepts per transaction, for each change that `txn_ops` allows
+Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[^\s/]+$")]
 
 
 class SettingsError(SpurarchError):
-    """A setting is missing, malformed or out of range; the message names file, field and reason."""
+    """A setting is missing, malformed or out of range. The message names file, field and reason."""
 
 
 class Team(Struct):
-    """A team's guaranteed resources and its quota, in CPUs and GPUs; 0 means none."""
+    """A team's guaranteed resources and its quota, in CPUs and GPUs; 0 means no guarantee or no quota."""
 
     name: str
     guaranteed_cpus: NotNegative = field(name="cpus", default=0.0)
@@ -33,7 +33,7 @@
 
 
 class Objective(Struct):
-    """A service-level objective for a class of jobs; kinds that this version doesn't know are ignored."""
+    """A service-level objective for a class of jobs. Unsupported kinds are ignored."""
 
     kind: str
     job_class: str | None = field(name="class", default=None)
@@ -53,7 +53,7 @@
 
 
 class NextStateLimits(Struct):
-    """Limits that the state service will apply from an unannounced moment on; an absent limit stays as it is."""
+    """Limits that the state service will apply from an unannounced time on; None leaves a limit unchanged."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -61,15 +61,15 @@
     txn_ops: Annotated[int, Meta(ge=4)] | None = None
 
 
-def _lower(present: float, later: float | None) -> float:
-    return present if later is None else min(present, later)
+def _lower_limit(current: float, upcoming: float | None) -> float:
+    return current if upcoming is None else min(current, upcoming)
 
 
 class StateLimits(Struct):
     """Published limits of the state service.
 
-    The change to the `next` limits comes without notice. So sizes never exceed the lower of both, while rates start
-    from the present limit and follow the service's refusals down to the later one.
+    The service changes to the `next` limits without notice. Sizes therefore stay within the lower of both limits. Rates
+    start at the current limit and are reduced, down to the next one, when the service refuses requests.
     """
 
     rps: Positive
@@ -80,84 +80,89 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value to write, in bytes."""
-        return int(_lower(self.value_kb, self.next.value_kb if self.next else None) * 1024)
+        """Maximum size of a value, in bytes."""
+        return int(_lower_limit(self.value_kb, self.next.value_kb if self.next else None) * 1024)
 
     @property
     def transaction_changes(self) -> int:
-        """The most changes to put into one transaction."""
-        return int(_lower(self.txn_ops, self.next.txn_ops if self.next else None))
+        """Maximum number of changes in a transaction."""
+        return int(_lower_limit(self.txn_ops, self.next.txn_ops if self.next else None))
 
     @property
     def transaction_guards(self) -> int:
-        """The most conditions to put into one transaction, those on written keys included."""
+        """Maximum number of guards in a transaction, including those of the keys that it writes."""
         return GUARDS_PER_CHANGE * self.transaction_changes
 
     @property
     def lowest_rps(self) -> float:
-        """The rate of requests that the service will allow in any case, per second."""
-        return _lower(self.rps, self.next.rps if self.next else None)
+        """Requests per second that the service allows both under the current and under the `next` limits."""
+        return _lower_limit(self.rps, self.next.rps if self.next else None)
 
     @property
     def lowest_write_rps(self) -> float:
-        """The rate of changes that the service will allow in any case, per second."""
-        return _lower(self.write_rps, self.next.write_rps if self.next else None)
+        """Changes per second that the service allows both under the current and under the `next` limits."""
+        return _lower_limit(self.write_rps, self.next.write_rps if self.next else None)
 
 
 class CloudLimits(Struct):
-    """Published limits of the cloud."""
+    """Published limits of the cloud; its list of machines lags behind requests by up to `list_lag_s` seconds."""
 
     rps: Positive
     list_lag_s: NotNegative
 
 
-# Below the first, a controller can't work at all; below the second, it serves, but less well than it should.
-PROCESSOR_LEAST, PROCESSOR_SCARCE = 0.02, 0.1  # of a core: an idle controller takes about 0.02
-MEMORY_LEAST_MB, MEMORY_SCARCE_MB = 20.0, 64.0  # started, a controller holds 16 MB; 680 machines took up to 44
-SOCKETS_LEAST, SOCKETS_SCARCE = 32, 256
+# Settings below a minimum are refused. Below the recommended value, a controller logs a warning and runs with degraded
+# performance.
+MIN_CPU_CORES, RECOMMENDED_CPU_CORES = 0.02, 0.1  # an idle controller uses about 0.02 cores
+MIN_MEMORY_MB, RECOMMENDED_MEMORY_MB = 20.0, 64.0  # a controller uses 16 MB after start, up to 44 MB with 680 machines
+MIN_SOCKETS, RECOMMENDED_SOCKETS = 32, 256
 
 
 class Limits(Struct):
-    """Resources that one controller may use."""
+    """Resources that one controller may use: processor cores, memory and open sockets."""
 
-    cpu: Annotated[float, Meta(ge=PROCESSOR_LEAST)] = 1.0
-    memory_mb: Annotated[float, Meta(ge=MEMORY_LEAST_MB)] = field(name="mem_mb", default=256.0)
-    sockets: Annotated[int, Meta(ge=SOCKETS_LEAST)] = field(name="fd_limit", default=1024)
+    cpu: Annotated[float, Meta(ge=MIN_CPU_CORES)] = 1.0
+    memory_mb: Annotated[float, Meta(ge=MIN_MEMORY_MB)] = field(name="mem_mb", default=256.0)
+    sockets: Annotated[int, Meta(ge=MIN_SOCKETS)] = field(name="fd_limit", default=1024)
 
     def scarce(self) -> list[str]:
-        """The fields below what a controller needs to run well, each with that minimum."""
-        wanted = {
-            "cpu": (self.cpu, PROCESSOR_SCARCE),
-            "mem_mb": (self.memory_mb, MEMORY_SCARCE_MB),
-            "fd_limit": (self.sockets, SOCKETS_SCARCE),
+        """Returns the fields below their recommended values, with both values, as texts for a warning."""
+        limits = {
+            "cpu": (self.cpu, RECOMMENDED_CPU_CORES),
+            "mem_mb": (self.memory_mb, RECOMMENDED_MEMORY_MB),
+            "fd_limit": (self.sockets, RECOMMENDED_SOCKETS),
         }
-        return [f"{name} = {value:g}, below {least:g}" for name, (value, least) in wanted.items() if value < least]
+        return [
+            f"{name} = {value:g}, below {recommended:g}"
+            for name, (value, recommended) in limits.items()
+            if value < recommended
+        ]
 
 
 class Deployment(Struct):
-    """The deployment that all controllers serve."""
+    """The deployment; `count` is the number of its controllers. The same for all of them."""
 
-    zones: Annotated[list[Text], Meta(min_length=1)]
+    zones: Annotated[list[Name], Meta(min_length=1)]
     teams: list[Team]
     workers: Workers
     state: StateLimits
     cloud: CloudLimits
     count: Annotated[int, Meta(ge=1)] = 1
-    clock_off_ms: NotNegative = field(name="time_bound_ms", default=1000.0)
+    max_clock_offset_ms: NotNegative = field(name="time_bound_ms", default=1000.0)
     objectives: list[Objective] = []
     limits: Limits = field(default_factory=Limits)
 
 
 class Peer(Struct):
-    """Another controller."""
+    """A peer controller."""
 
-    node: Text
+    node: Name
     area: str
     address: Address = field(name="peer_addr")
 
 
 class External(Struct):
-    """Addresses of the systems that a controller uses."""
+    """Addresses of the external systems: the cloud and the state service."""
 
     cloud: Address
     state: Address
@@ -166,7 +171,7 @@
 class Platform(Struct):
     """The platform's settings file. Unknown fields are ignored."""
 
-    node: Text
+    node: Name
     area: str
     listen: Address = field(name="public_addr")
     back: Address
@@ -176,7 +181,7 @@
 
 
 class Tuning(Struct, forbid_unknown_fields=True, rename="kebab"):
-    """The operators' own settings; docs/operations.md describes each."""
+    """The operators' settings, described in docs/operations.md."""
 
     edge_weight: Share = 0.234
     imbalance_weight: Share = 0.512
@@ -224,7 +229,7 @@
 
 
 def load_platform(path: str) -> Platform:
-    """Reads and checks the platform's file."""
+    """Reads and validates the platform's file. Raises SettingsError."""
     try:
         data = tomllib.loads(_read(path))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as err:
@@ -240,16 +245,19 @@
 
 
 def load_tuning(path: str | None) -> Tuning:
-    """Reads and checks the operators' file: `((round-s 10) (margin 0.02))`. Without a file, the defaults."""
+    """Reads and validates the operators' file, such as `((round-s 10) (margin 0.02))`. Raises SettingsError.
+
+    Returns the defaults if `path` is None.
+    """
     if path is None:
         return Tuning()
-    import sexpdata  # a controller without such a file need not load it
+    import sexpdata  # loaded only here, so that a controller without this file starts faster
 
     try:
         data = sexpdata.loads(_read(path))
     except OSError as err:
         raise SettingsError(f"{path}: {err.strerror}") from None
-    except Exception as err:  # the parser raises many kinds
+    except Exception as err:  # the errors of sexpdata have no common base class
         raise SettingsError(f"{path}: not an S-expression: {err}") from None
     if not isinstance(data, list):
         raise SettingsError(f"{path}: top level: expected a list of (name value)")
