--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -90,7 +90,7 @@
         """Writes what changed, in transactions within the limits that guard the partition and the jobs.
 
         Machines and replicas go first. The rest may wait long for its turn, so it goes on beside the rounds: a replica
-        that has to start meanwhile would wait with it (tests/test_bursts.py). Ends of arrays go with their starts.
+        that has to start meanwhile would wait with it (tests/test_mass_starts.py). Ends of arrays go with their starts.
         Deletions wait until nothing else does, or for `DELETE_INTERVAL_S`, since quotas wait for them.
         """
         groups = self._by_urgency(owned, changes, other)
