--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Properties of the pure decisions: best fit, Tabu search, part assignment, word arithmetic, rate limits."""
+"""Pure decisions: best fit, tabu search, partition assignment, attestations of freshness, rate limits."""
 
 from __future__ import annotations
 
@@ -81,8 +81,8 @@
     assert all(b <= 16 for b in booked)
 
 
-def test_cost_is_the_papers() -> None:
-    """Two machines with 3 and 1 CPUs booked: gaps of 1 around a mean of 2, in CPU and (here) memory alike."""
+def test_cost_matches_the_paper() -> None:
+    """Two machines with 3 and 1 CPUs booked deviate by 1 from the mean of 2; memory is booked in the same amounts."""
     capacities = [room(0, 16, 16, images=frozenset([0])), room(1, 16, 16, images=frozenset([0]))]
     tasks = []
     for task, (cpus, at) in enumerate([(2, 0), (1, 0), (1, 1)]):
@@ -93,10 +93,10 @@
     assert abs(search.imbalance() - (0.5 + 0.5 + 0.5 + 0.5) / (2 * 3)) < 1e-9
     result = search.run(Random(1), 20, 5, 3, 3, 0.0, lambda: False)
     assert [(m.task, m.source, m.target) for m in result.moves] == [(1, 0, 1)]
-    assert abs(result.after - 0.254 / 3) < 1e-9  # even, one of three moved
+    assert abs(result.after - 0.254 / 3) < 1e-9  # balanced, with one of three replicas moved
 
 
-def test_time_budget_stops_the_search() -> None:
+def test_an_exhausted_time_budget_stops_the_search() -> None:
     search = search_of([(1, 0)] * 6 + [(1, 1)], 2)
     result = search.run(Random(1), 40, 10, 5, 3, 0.0, lambda: True)
     assert result.iterations == 0
@@ -107,7 +107,7 @@
     return {node: MemberRecord(node, "boot", area) for node, area in nodes}
 
 
-def test_partitions_go_home_and_orphans_to_the_least_loaded() -> None:
+def test_a_partition_goes_to_a_controller_of_its_zone_or_else_to_the_least_loaded() -> None:
     all_three = members(("n0", "a"), ("n1", "b"), ("n2", "c"))
     assert assign_partitions(["a", "b", "c", "d"], {}, all_three, set()) == {"a": "n0", "b": "n1", "c": "n2", "d": "n0"}
     parts = {z: PartitionRecord(n, 1) for z, n in (("a", "n0"), ("b", "n1"), ("c", "n2"), ("d", "n0"))}
@@ -116,14 +116,14 @@
     assert sorted(assign_partitions(["a", "b", "c", "d"], parts, two, set()).values()) == ["n1", "n2"]
 
 
-def test_a_partition_goes_home_only_when_the_home_has_settled() -> None:
+def test_a_partition_moves_to_the_controller_of_its_zone_only_once_that_has_settled() -> None:
     parts = {"a": PartitionRecord("n1", 4)}
     both = members(("n0", "a"), ("n1", "b"))
     assert assign_partitions(["a"], parts, both, set()) == {}
     assert assign_partitions(["a"], parts, both, {"n0"}) == {"a": "n0"}
 
 
-def test_an_owner_that_receives_no_heartbeats_of_a_zone_gives_it_up() -> None:
+def test_a_partition_is_reassigned_if_its_owner_receives_no_heartbeats_of_the_zone() -> None:
     parts = {"a": PartitionRecord("n0", 4)}
     both = members(("n0", "a"), ("n1", "b"))
     both["n0"].isolated_zones = ["a"]
@@ -133,67 +133,66 @@
     assert assign_partitions(["a"], {"a": PartitionRecord("n0", 4)}, both, {"n0", "n1"}) == {}
 
 
-def _reach() -> StoreReachability:
+def _reachability() -> StoreReachability:
     return StoreReachability(["p", "q"], cancel_s=30.0, lease_s=10.0)
 
 
-def _pong(node: str, reaches: bool = False, age_s: float = 60.0, up_s: float = 500.0) -> peer_messages.Pong:
-    return peer_messages.Pong(node, "x", reaches, [f"job-{node}"], [("a", node, 9)], age_s, up_s)
+def _pong(node: str, reaches_store: bool = False, age_s: float = 60.0, up_s: float = 500.0) -> peer_messages.Pong:
+    return peer_messages.Pong(node, "x", reaches_store, [f"job-{node}"], [("a", node, 9)], age_s, up_s)
 
 
-def test_an_attestation_lasts_until_a_cancellation_could_be_missed() -> None:
-    reachability = _reach()
+def test_an_attestation_expires_before_a_cancellation_could_be_missed() -> None:
+    reachability = _reachability()
     assert reachability.may_answer(100.0, 110.0)
     assert not reachability.may_answer(100.0, 120.0)
     reachability.on_pong("p", 119.0, 119.1, _pong("p"), 100.0)
     assert not reachability.may_answer(100.0, 120.0)  # q may have confirmed a cancellation
     reachability.on_pong("q", 118.0, 118.1, _pong("q"), 100.0)
     assert reachability.freshness_bound(100.0) == 118.0
-    assert reachability.cancelled_by_peers == {
-        "job-p": 119.1,
-        "job-q": 118.1,
-    }  # passed on by who does not reach the service, too
+    # Peers that cannot reach the state service pass on cancellations, too.
+    assert reachability.cancelled_by_peers == {"job-p": 119.1, "job-q": 118.1}
     assert reachability.partitions_by_peers == {"a": KnownOwner("p", 9)}
-    reachability.discard_confirmed(118.5)  # a read of our own holds what was told before it, and no more
+    reachability.discard_confirmed(118.5)  # a read of the state service covers only cancellations reported before it
     assert reachability.cancelled_by_peers == {"job-p": 119.1}
 
 
-def test_a_peer_that_reaches_the_service_is_attestation_enough() -> None:
-    reachability = _reach()
-    reachability.on_pong("q", 119.0, 119.1, _pong("q", reaches=True, age_s=0.1), 100.0)
+def test_a_pong_of_one_peer_that_reaches_the_state_service_is_a_sufficient_attestation() -> None:
+    reachability = _reachability()
+    reachability.on_pong("q", 119.0, 119.1, _pong("q", reaches_store=True, age_s=0.1), 100.0)
     assert reachability.freshness_bound(100.0) == 119.0
 
 
-def test_a_copy_is_an_attestation_of_its_age() -> None:
-    reachability = _reach()
+def test_a_pong_attests_freshness_as_of_the_age_of_the_peers_replica() -> None:
+    reachability = _reachability()
     reachability.on_pong("q", 119.0, 119.1, _pong("q", age_s=5.0), 100.0)
     assert 113.9 < reachability.freshness_bound(100.0) <= 114.0
     assert reachability.freshness_bound(116.0) == 116.0
 
 
-def test_who_started_after_the_attestation_and_never_read_the_service_can_not_attest() -> None:
-    for up_s, word in ((18.0, 100.0), (19.0, 100.0), (20.0, 119.0)):  # its start lies after, at, or before the word
-        reachability = _reach()
+def test_a_peer_that_started_after_the_last_attestation_without_reading_the_state_service_cannot_attest() -> None:
+    # The peer's process started after, at about, or before the last attestation at 100.
+    for up_s, expected_bound in ((18.0, 100.0), (19.0, 100.0), (20.0, 119.0)):
+        reachability = _reachability()
         reachability.on_pong("p", 119.0, 119.05, _pong("p"), 100.0)
         reachability.on_pong("q", 119.0, 119.05, _pong("q", age_s=-1.0, up_s=up_s), 100.0)
-        assert reachability.freshness_bound(100.0) == word
+        assert reachability.freshness_bound(100.0) == expected_bound
 
 
-def test_an_outage_is_told_from_being_alone() -> None:
-    reachability = _reach()
+def test_an_outage_of_the_state_service_is_distinguished_from_a_partitioned_controller() -> None:
+    reachability = _reachability()
     assert not reachability.outage(100.0)
     reachability.on_pong("p", 100.0, 100.1, _pong("p"), 60.0)
     assert reachability.outage(101.0)
     assert reachability.peer_responds("p", 101.0, "x")
-    assert not reachability.peer_responds("p", 101.0, "y")  # another process by now
+    assert not reachability.peer_responds("p", 101.0, "y")  # the answering process has another incarnation
     assert not reachability.peer_responds("q", 101.0)
-    reachability.on_pong("q", 101.0, 101.1, _pong("q", reaches=True), 60.0)
+    reachability.on_pong("q", 101.0, 101.1, _pong("q", reaches_store=True), 60.0)
     assert not reachability.outage(102.0)
-    assert not reachability.outage(120.0)  # nobody has been heard for long
+    assert not reachability.outage(120.0)  # no peer has responded recently
 
 
-def test_silence_of_an_older_version_is_no_attestation() -> None:
-    reachability = _reach()
+def test_a_pong_of_an_earlier_version_without_age_and_uptime_is_no_attestation() -> None:
+    reachability = _reachability()
     for peer in ("p", "q"):
         old = peer_messages.decode(msgspec.msgpack.encode(["pong", peer, "x", False, [], []]))
         assert isinstance(old, peer_messages.Pong)
@@ -209,7 +208,7 @@
 
 @given(st.floats(0.5, 200), st.integers(1, 24), st.sampled_from(list(Urgency)))
 def test_the_bucket_always_gets_to_everyone(rate: float, amount: int, urgency: Urgency) -> None:
-    """A caller told to wait is served in the end, whatever the rounding, and the rate is kept."""
+    """A delayed caller is served eventually, whatever the rounding, and the rate is not exceeded."""
     bucket, now, served = TokenBucket(rate, rate), 1.0, 0
     for _ in range(400):
         wait = bucket.delay(now, amount, urgency)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Decisions on gangs: when members may start, when all must leave, and which number the next attempt has."""
+"""Gangs: when the members may start, when all of them must stop, and the number of the next attempt."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     return TaskEntry(index, records.FREE, attempt)
 
 
-def test_members_start_only_once_all_are_on_record() -> None:
+def test_members_start_only_once_all_assignments_are_recorded() -> None:
     assert not gang_of(assigned(0), free(1)).startable
     assert gang_of(assigned(0), assigned(1)).startable
     assert not gang_of(assigned(0, 1), assigned(1, 2)).startable
@@ -91,7 +91,7 @@
     assert gang.to_stop() == []
 
 
-def test_the_next_number_is_above_all_that_were_used_and_waits_for_the_last_member() -> None:
+def test_the_next_attempt_number_exceeds_all_used_ones_and_is_given_once_all_members_stopped() -> None:
     gang = gang_of(assigned(0, 3), free(1, 3))
     assert gang.state is GangState.STOPPING
     assert gang.next_attempt() is None
@@ -109,23 +109,23 @@
         wire.REASON_NO_CAPACITY,
     ],
 )
-def test_all_leave_once_one_has_left(why: str) -> None:
+def test_all_members_stop_once_one_has_exited(why: str) -> None:
     gang = gang_of(assigned(0), assigned(1), assigned(2))
     for attempt in gang.members.values():
         attempt.transition(AttemptPhase.RUNNING)
     states = []
-    for leaves in (False, True):
-        if leaves:
+    for exited in (False, True):
+        if exited:
             gang.members[1].transition(AttemptPhase.EXITED, why)
         gang.update_state()
         states.append(gang.state)
     assert states == [GangState.RUNNING, GangState.STOPPING]
     assert [attempt.index for attempt in gang.to_stop()] == [0, 2]
-    assert gang.grace_s() == 0.0  # there is nothing to checkpoint any more
+    assert gang.grace_s() == 0.0  # nothing is left to checkpoint
     assert not gang.startable
 
 
-def test_one_that_completed_proves_that_all_did() -> None:
+def test_one_completed_member_proves_that_all_completed() -> None:
     gang = gang_of(assigned(0), assigned(1))
     for attempt in gang.members.values():
         attempt.transition(AttemptPhase.RUNNING)
@@ -138,16 +138,15 @@
     assert gang.state is GangState.ENDED
 
 
-def test_an_end_on_record_proves_the_same_to_the_next_owner() -> None:
+def test_a_recorded_end_proves_to_the_next_owner_that_all_members_completed() -> None:
     gang = gang_of(TaskEntry(0, records.ENDED, 2), assigned(1, 2))
     assert gang.state is GangState.ENDED
     assert not gang.startable
-    assert [attempt.index for attempt in gang.to_stop()] == [
-        1
-    ]  # its absence has to be shown, since it may never come back
+    # The machine of member 1 may never report again, so the owner needs proof that the member stopped.
+    assert [attempt.index for attempt in gang.to_stop()] == [1]
 
 
-def test_members_are_stopped_with_the_same_time_to_checkpoint() -> None:
+def test_members_are_stopped_with_the_same_grace_period() -> None:
     gangs = Gangs()
     gang = gangs.track("job-1", 3, 4.0)
     gang.apply_record(WHERE, [assigned(i) for i in range(3)])
@@ -180,8 +179,8 @@
     assert [(c.op, c.task, c.attempt) for c in partition.commands.plan(machine, None)] == [(wire.START, "job-1/0", 1)]
 
 
-def test_a_split_record_keeps_what_is_known_of_its_tasks() -> None:
-    """Forgetting an end that is not recorded yet would have the worker forget it too, and run the task once more."""
+def test_splitting_a_record_keeps_the_reported_state_of_its_tasks() -> None:
+    """If an unrecorded end were dropped here, the worker would drop it on command, and the task would run again."""
     job = JobRecord(submission(4), 0.0)
     job.spec.kind = wire.BATCH
     partition, state = partition_with(job, [assigned(i) for i in range(4)])
@@ -195,7 +194,7 @@
     assert TerminalRecords(partition.state).entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
 
-def test_gang_members_are_given_machines_together_or_not_at_all() -> None:
+def test_gang_members_are_assigned_together_or_not_at_all() -> None:
     record = AllocationRecord([free(0, 2), free(1, 4)])
     changes = {0: assigned(0, 5), 1: assigned(1, 5)}
     new = merge_changes(record, changes, gang=True)
@@ -227,18 +226,18 @@
     assert all(AllocationKey.parse(str(allocation)) == allocation for allocation, _ in pieces)
 
 
-def test_while_there_are_gangs_an_earlier_version_owns_nothing() -> None:
-    new = MemberRecord("n0", "x", "a", version=records.GANG_VERSION)
-    old = MemberRecord("n1", "y", "b")
-    members, parts = {"n0": new, "n1": old}, {"a": PartitionRecord("n0", 1), "b": PartitionRecord("n1", 1)}
-    assert assign_partitions(["a", "b"], parts, members, set()) == {}
-    assert assign_partitions(["a", "b"], parts, members, set(), gangs=True) == {"b": "n0"}
+def test_while_gangs_exist_a_controller_of_an_earlier_version_owns_no_partition() -> None:
+    current = MemberRecord("n0", "x", "a", version=records.GANG_VERSION)
+    earlier = MemberRecord("n1", "y", "b")
+    members, partitions = {"n0": current, "n1": earlier}, {"a": PartitionRecord("n0", 1), "b": PartitionRecord("n1", 1)}
+    assert assign_partitions(["a", "b"], partitions, members, set()) == {}
+    assert assign_partitions(["a", "b"], partitions, members, set(), gangs=True) == {"b": "n0"}
     assert not gangs_supported(members)
-    assert gangs_supported({"n0": new})
+    assert gangs_supported({"n0": current})
     assert not gangs_supported({})
 
 
-def test_room_for_a_gang_gathers_where_work_ends() -> None:
+def test_capacity_for_a_gang_is_reserved_on_machines_whose_tasks_end() -> None:
     requirements = Requirements(2.0, 0.0, 1.0, None, False, 0, priority=2)
     service = Requirements(4.0, 0.0, 1.0, None, False, 0, priority=0)
     array = Requirements(4.0, 0.0, 1.0, None, False, 0, priority=1)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of 4,000 machines, 1,500 and more of them in one zone: nothing of ours ends below that."""
+"""Fleets of 4,000 machines, with 1,500 and more of them in one zone: no bound or message size may be too small."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, TaskEntry
 from spurarch.transport import frames, sockets
 from tests.sim.clock import Clock
-from tests.test_scale import Fleet, calls, submission
+from tests.test_scale import Fleet, count_calls, submission
 
 MACHINES = 4000
 PAGE = 500
 
 
 def test_decisions_over_the_whole_fleet_in_one_partition() -> None:
-    """All of the fleet in one zone: a round places what waits, the leader admits, the search refines."""
+    """The whole fleet is in one zone: a round places tasks, the leader admits a job, the local search refines."""
     fleet = Fleet(MACHINES)
     fleet.put(f"{records.JOB}job-9001", JobRecord(submission("job-9001", 1000), 1.0))
     fleet.put(str(AllocationKey("a", "job-9001", 0)), AllocationRecord([TaskEntry(n) for n in range(100)]))
@@ -39,24 +39,24 @@
     refine(fleet.partition, fleet.view, Tuning(), 2.0, Random(1), lambda: False)
 
 
-def test_the_cost_of_an_end_and_of_an_owner_s_records_is_that_of_a_small_fleet() -> None:
+def test_a_task_end_and_the_deletion_of_records_cost_the_same_as_in_a_small_fleet() -> None:
     costs = []
     for machines in (400, MACHINES):
         fleet = Fleet(machines)
         token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-7"])
         ended = fleet.build_heartbeat(7, 3, token)
         ended.tasks[0] = msgspec.structs.replace(ended.tasks[0], state="ended", exit_reason="done")
-        report = calls(lambda f=fleet, r=ended: f.partition.on_heartbeat(r, 2.0))  # type: ignore[misc]
-        left = calls(lambda f=fleet: TerminalRecords(f.partition.state).deletable_allocations(f.state))  # type: ignore[misc]
-        costs.append((report, left))
+        heartbeat_calls = count_calls(lambda f=fleet, r=ended: f.partition.on_heartbeat(r, 2.0))  # type: ignore[misc]
+        deletion_calls = count_calls(lambda f=fleet: TerminalRecords(f.partition.state).deletable_allocations(f.state))  # type: ignore[misc]
+        costs.append((heartbeat_calls, deletion_calls))
     assert costs[0] == costs[1]
 
 
-def test_a_machine_list_of_any_length_is_read_with_repeated_and_lagging_pages() -> None:
+def test_a_machine_list_of_many_overlapping_pages_is_read_completely() -> None:
     names = [f"vm-{n:06d}" for n in range(2 * MACHINES)]
 
     class Client:
-        """Every other page repeats the last machine of the one before."""
+        """A cloud whose every other page repeats the last machine of the previous page."""
 
         async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
             after = parse_qs(urlsplit(target).query).get("from", [""])[0]
@@ -83,7 +83,7 @@
     Clock().run(main)
 
 
-def test_peers_and_bounds_allow_for_the_fleet() -> None:
+def test_peer_messages_and_bounds_are_large_enough_for_the_fleet() -> None:
     names = [f"vm-{n:06d}" for n in range(MACHINES)]
     jobs = [f"job-{n:012d}" for n in range(4 * MACHINES)]
     pong = peer_messages.Pong("node-0", "boot", True, jobs, [("zone", "node-0", 2**40)] * 20, 1.0, 1.0)
@@ -93,9 +93,9 @@
     assert min(RELEASED_MACHINES_KEPT, sockets.BACKLOG) >= MACHINES
 
 
-def test_the_first_looks_of_a_successor_are_over_soon() -> None:
-    """Records of 4,000 machines and as many jobs are taken in by a new owner; generous, but not without a bound."""
+def test_a_new_owner_reads_all_records_at_a_bounded_cost() -> None:
+    """A new owner applies the records of 4,000 machines and as many jobs; the bound is generous."""
     fleet = Fleet(MACHINES)
     assert len(fleet.partition.machines) == MACHINES
-    work = calls(lambda: fleet.partition.apply_records(fleet.state, list(fleet.state.entries), 3.0))
+    work = count_calls(lambda: fleet.partition.apply_records(fleet.state, list(fleet.state.entries), 3.0))
     assert work <= 120 * MACHINES
--- a/tests/test_mass_starts.py
+++ b/tests/test_mass_starts.py
@@ -1,4 +1,7 @@
-"""Mass starts: what must not be sent to and fro, and who goes first while changes are scarce."""
+"""Mass starts: writes to the state service are scarce, so their order matters and needless ones delay starts.
+
+Tasks must not move back and forth between partitions, and replicas must not wait behind arrays.
+"""
 
 from __future__ import annotations
 
@@ -14,98 +17,99 @@
 from spurarch.storage.records import AllocationKey, AllocationRecord, JobRecord, MachineRecord, TaskEntry
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
-from tests.test_scale import Answering, Fleet, submission
+from tests.test_scale import Fleet, ImmediateStateService, submission
 
 
-def waiting_in(fleet: Fleet, zone: str, job_id: str, tasks: int) -> None:
-    """A job whose tasks were admitted to a zone and found no room there yet."""
+def add_waiting_job(fleet: Fleet, zone: str, job_id: str, tasks: int) -> None:
+    """Adds a job whose tasks are admitted to a zone, but not placed yet for lack of free capacity."""
     fleet.put(f"{records.JOB}{job_id}", JobRecord(submission(job_id, tasks), 0.0))
     fleet.put(str(AllocationKey(zone, job_id, 0)), AllocationRecord([TaskEntry(n) for n in range(tasks)]))
 
 
-def given_back(queue_of_b: int, scarce: bool = False, grew_at: float = -100.0) -> int:
-    """Tasks that part a gives back while a machine with room for 32 tasks is up in b, where others wait for it."""
+def returned_tasks(waiting_in_b: int, writes_scarce: bool = False, capacity_added_at: float = -100.0) -> int:
+    """Counts tasks returned by partition a while zone b has free capacity for 32 tasks and waiting tasks of its own."""
     fleet = Fleet(0)
     fleet.put(records.machine_key("b", "vm-1"), MachineRecord("big", False, "10.1.0.1:9000"))
-    waiting_in(fleet, "a", "job-1", 10)
-    if queue_of_b:
-        waiting_in(fleet, "b", "job-2", queue_of_b)
+    add_waiting_job(fleet, "a", "job-1", 10)
+    if waiting_in_b:
+        add_waiting_job(fleet, "b", "job-2", waiting_in_b)
     fleet.apply_changes(list(fleet.state.entries))
     placer = TaskPlacer()
-    placer.writes_scarce, fleet.partition.state.capacity_added_at = scarce, grew_at
-    for now in (1.0, 3.0 if not scarce else 7.0):
-        turn = placer.run_round(fleet.partition, fleet.view, now, lambda: False, 100)
-    return sum(e.state == records.RETURNED for entries in turn.entries.values() for e in entries.values())
+    placer.writes_scarce, fleet.partition.state.capacity_added_at = writes_scarce, capacity_added_at
+    for now in (1.0, 3.0 if not writes_scarce else 7.0):
+        round_result = placer.run_round(fleet.partition, fleet.view, now, lambda: False, 100)
+    return sum(e.state == records.RETURNED for entries in round_result.entries.values() for e in entries.values())
 
 
-def test_capacity_that_another_partition_waits_for_itself_is_no_reason_to_give_back() -> None:
-    """While machines came up in all zones, each part sent its tasks after the room of the others.
+def test_no_tasks_are_returned_for_capacity_that_another_partition_needs_itself() -> None:
+    """While machines started in all zones, each partition returned its tasks for the free capacity of the others.
 
-    A third of all changes in the first minute, four for each task.
+    That took a third of all changes in the first minute: four for each task.
     """
-    assert given_back(0) == 10
-    assert given_back(32) == 0
+    assert returned_tasks(0) == 10
+    assert returned_tasks(32) == 0
 
 
-def test_while_changes_are_scarce_and_machines_come_up_here_nothing_is_given_back() -> None:
-    """In the first minute of the restart day replicas were sent after free rooms of other zones.
+def test_no_tasks_are_returned_while_writes_are_scarce_and_the_zone_gains_machines() -> None:
+    """In the first minute after a restart, replicas were returned for free capacity in other zones.
 
-    176 of 180 changes of a part in ten seconds, and three more each of the leader, while arrays could not start.
+    They took 176 of a partition's 180 changes in ten seconds, and three more changes each by the leader, while arrays
+    could not start.
     """
-    assert given_back(0, scarce=True, grew_at=0.0) == 0
-    assert given_back(0, scarce=True) == 10
-    assert given_back(0, grew_at=0.0) == 10
+    assert returned_tasks(0, writes_scarce=True, capacity_added_at=0.0) == 0
+    assert returned_tasks(0, writes_scarce=True) == 10
+    assert returned_tasks(0, capacity_added_at=0.0) == 10
 
 
-def test_a_replica_does_not_wait_behind_the_starts_of_arrays() -> None:
-    """In the first minute of a large fleet the line for changes was many seconds long, and first come first served."""
+def test_a_replica_write_does_not_wait_behind_array_starts() -> None:
+    """In the first minute of a large fleet, writes waited many seconds in a first-come, first-served queue."""
     clock = Clock()
-    waited: dict[Urgency, float] = {}
+    wait_s: dict[Urgency, float] = {}
 
-    async def play() -> None:
-        store = Store(Answering(), StateLimits(1000.0, 20.0, 8.0, 24), 1)
+    async def measure() -> None:
+        store = Store(ImmediateStateService(), StateLimits(1000.0, 20.0, 8.0, 24), 1)
 
-        async def arrays() -> None:
+        async def write_array_starts() -> None:
             while True:
                 await store.txn(wire.Txn([], [wire.Delete(str(i)) for i in range(20)]), Urgency.STARTS)
 
         for _ in range(8):
-            await curio.spawn(arrays, daemon=True)
+            await curio.spawn(write_array_starts, daemon=True)
         await curio.sleep(5)
         for urgency in (Urgency.STARTS, Urgency.REPLICAS):
             start = clock.now
             await store.txn(wire.Txn([], [wire.Delete("a"), wire.Delete("b")]), urgency)
-            waited[urgency] = clock.now - start
+            wait_s[urgency] = clock.now - start
 
-    async def bounded() -> None:
-        await curio.ignore_after(60, play)
+    async def run_with_timeout() -> None:
+        await curio.ignore_after(60, measure)
 
-    clock.run(bounded)
-    assert waited[Urgency.REPLICAS] < 1.0 < waited[Urgency.STARTS]
+    clock.run(run_with_timeout)
+    assert wait_s[Urgency.REPLICAS] < 1.0 < wait_s[Urgency.STARTS]
 
 
-def admitted(piece: int, tasks: int) -> list[int]:
-    """Sizes of the pieces in which a job is admitted to three zones with room for 20, 3 and 20 tasks."""
+def admitted_sizes(min_tasks_per_zone: int, tasks: int) -> list[int]:
+    """Sizes of the allocations of a job admitted to three zones with free capacity for 20, 3 and 20 tasks."""
     fleet = Fleet(0)
-    for zone, taken in (("a", 12), ("b", 29), ("c", 12)):
+    for zone, running in (("a", 12), ("b", 29), ("c", 12)):
         fleet.put(records.machine_key(zone, f"vm-{zone}"), MachineRecord("big", False, "10.1.0.1:9000"))
-        fleet.put(f"{records.JOB}job-{zone}", JobRecord(submission(f"job-{zone}", taken), 0.0))
-        entries = [TaskEntry(n, records.ASSIGNED, 1, f"vm-{zone}", 1) for n in range(taken)]
+        fleet.put(f"{records.JOB}job-{zone}", JobRecord(submission(f"job-{zone}", running), 0.0))
+        entries = [TaskEntry(n, records.ASSIGNED, 1, f"vm-{zone}", 1) for n in range(running)]
         fleet.put(str(AllocationKey(zone, f"job-{zone}", 0)), AllocationRecord(entries))
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", tasks), 1.0))
     fleet.view.update()
-    plan = AdmissionPlanner(fleet.view, 2.0, min_tasks_per_zone=piece).run(None, lambda: False, 24)
+    plan = AdmissionPlanner(fleet.view, 2.0, min_tasks_per_zone=min_tasks_per_zone).run(None, lambda: False, 24)
     return sorted(len(grant.entries) for grant in plan.grants)
 
 
-def test_while_changes_are_scarce_arrays_are_admitted_in_large_pieces() -> None:
-    assert admitted(1, 60) == [3, 20, 20]
-    assert admitted(16, 60) == [20, 20]
-    assert admitted(16, 2) == [2]  # all of a small job, however small
+def test_while_writes_are_scarce_arrays_are_admitted_in_large_allocations() -> None:
+    assert admitted_sizes(1, 60) == [3, 20, 20]
+    assert admitted_sizes(16, 60) == [20, 20]
+    assert admitted_sizes(16, 2) == [2]  # a job below the minimum is admitted whole
 
 
-def warm_fleet() -> Fleet:
-    """Two machines with room for one task each; the first has the image of job-2."""
+def fleet_with_cached_image() -> Fleet:
+    """A machine with free capacity for one task, and two jobs of one task each; the image of job-2 is cached on it."""
     fleet = Fleet(0)
     fleet.view.set_machine_types([wire.MachineType("small", 1.0, 0.0, 4.0, 1.0, 0.5, 30.0, ["a"], 40.0, 0.1)])
     fleet.put(records.machine_key("a", "vm-1"), MachineRecord("small", False, "10.1.0.1:9000"))
@@ -122,24 +126,24 @@
     return fleet
 
 
-def test_a_free_machine_goes_to_a_task_whose_image_it_has_for_as_long_as_a_fetch_takes() -> None:
-    """In a burst a fifth of all rooms stood idle while images were fetched.
+def test_a_free_machine_prefers_a_task_with_a_cached_image_for_the_duration_of_a_fetch() -> None:
+    """In a burst of starts a fifth of all capacity was idle while images were fetched.
 
-    The first in line took whatever machine became free.
+    The first task in the queue took any machine that became free.
     """
-    fleet, placer = warm_fleet(), TaskPlacer()
+    fleet, placer = fleet_with_cached_image(), TaskPlacer()
     first = placer.run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
     assert [allocation.job for allocation in first.entries] == ["job-2"]
     late = placer.run_round(fleet.partition, fleet.view, 2.0 + 11.0, lambda: False, 100)  # a fetch takes 10 s
     assert [allocation.job for allocation in late.entries] == ["job-1"]
 
 
-def test_a_start_that_waits_in_line_keeps_its_room() -> None:
-    """Starts of arrays stand in line beside the rounds.
+def test_a_queued_start_keeps_its_capacity() -> None:
+    """Starts of arrays are queued and written outside the scheduling rounds.
 
-    A round that comes meanwhile must not give their room to a replica.
+    A round that runs meanwhile must not give their capacity to a replica.
     """
-    fleet, placer = warm_fleet(), TaskPlacer()
+    fleet, placer = fleet_with_cached_image(), TaskPlacer()
     first = placer.run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
     assert [allocation.job for allocation in first.entries] == ["job-2"]
     spec = submission("job-3", 1)
@@ -153,22 +157,22 @@
     assert placer.run_round(fleet.partition, fleet.view, 2.0 + 11.5, lambda: False, 100).entries
 
 
-def test_when_all_can_not_be_done_a_few_large_jobs_are_late_and_not_many_small_ones() -> None:
-    """By deadline alone, half of all jobs of a burst were late by a little: each had waited until it was too late."""
+def test_under_overload_a_few_large_jobs_miss_their_deadlines_instead_of_many_small_ones() -> None:
+    """In order of deadline alone, half of all jobs of a burst were slightly late: each was started too late."""
 
-    def late(size_weight: float) -> int:
+    def missed_deadlines(size_weight: float) -> int:
         fleet = Fleet(0)
         fleet.view = FleetView(fleet.state, [Team("t")], size_weight)
-        for i in range(12):  # room for one task at a time; every third job is large, and due first
+        for i in range(12):  # one task runs at a time; every third job is large and has the earliest deadline
             spec = submission(f"job-{i}", 8 if i % 3 == 0 else 1)
             spec.deadline_s = 40.0 + i % 3
             fleet.put(f"{records.JOB}job-{i}", JobRecord(spec, 0.0))
         fleet.view.update()
-        now, count = 0.0, 0
+        now, late = 0.0, 0
         for job in sorted(fleet.view.jobs.values(), key=lambda job: fleet.view.ranking.rank(job, False)):
             now += job.tasks * 4.0
-            count += job.deadline is not None and now > job.deadline
-        return count
+            late += job.deadline is not None and now > job.deadline
+        return late
 
-    assert late(0.0) == 11
-    assert late(0.4) == 4
+    assert missed_deadlines(0.0) == 11
+    assert missed_deadlines(0.4) == 4
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -1,4 +1,4 @@
-"""What becomes of machines that were to be returned, and of those that may hold cancelled tasks."""
+"""Release of machines that are idle, and of those that may still run cancelled tasks."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 WORKERS = Workers(1.0, 10.0, 30.0)
 
 
-def _returns(**parts: Any) -> ScaleIn:
+def _scale_in(**overrides: Any) -> ScaleIn:
     unused: Any = None
-    given = {"can": SimpleNamespace(reachability=None), "owned": {}, "replica": None, "cloud": None, **parts}
+    context = {"can": SimpleNamespace(reachability=None), "owned": {}, "replica": None, "cloud": None, **overrides}
     deployment: Any = SimpleNamespace(workers=WORKERS, state=SimpleNamespace(transaction_changes=24))
-    fixed = (given["replica"], unused, unused, given["cloud"], given["can"])
-    return ScaleIn(ScaleInContext(*fixed, unused, deployment, unused), given["owned"])
+    fixed = (context["replica"], unused, unused, context["cloud"], context["can"])
+    return ScaleIn(ScaleInContext(*fixed, unused, deployment, unused), context["owned"])
 
 
-def test_a_machine_left_out_of_a_release_is_of_use_again() -> None:
-    """A task is recorded onto one of two idle machines while both are closed.
+def test_a_machine_excluded_from_a_release_becomes_active_again() -> None:
+    """A task is assigned to one of two idle machines while both are being cordoned.
 
-    It stayed marked as being returned for ever on the former code, so nobody used it, and nobody returned it.
+    If that machine stays marked as being released, it is neither used nor ever released.
     """
     fleet = Fleet(3)
     machines = [fleet.partition.machines["vm-0"], fleet.partition.machines["vm-1"]]
@@ -45,22 +45,22 @@
     async def sync() -> bool:
         return True
 
-    async def close(part: object, idle: object) -> bool:
+    async def cordon(partition: object, idle: object) -> bool:
         machines[1].attempts.update(attempts[1])
         return True
 
-    async def release(names: list[str], still: object) -> None:
+    async def release(names: list[str], may_release: object) -> None:
         released.extend(names)
 
-    async def ring() -> None:
+    async def wake() -> None:
         pass
 
-    can: Any = SimpleNamespace(owns=lambda part: True, reachability=None)
+    permissions: Any = SimpleNamespace(owns=lambda partition: True, reachability=None)
     replica, cloud = SimpleNamespace(sync=sync), SimpleNamespace(release=release)
-    returns = _returns(can=can, replica=replica, cloud=cloud)
-    returns._releaser._cordon = close  # type: ignore[method-assign, assignment]
-    owned: Any = SimpleNamespace(partition=fleet.partition, wakeup=SimpleNamespace(set=ring))
-    curio.run(returns._releaser.release_owned, owned, machines)
+    scale_in = _scale_in(can=permissions, replica=replica, cloud=cloud)
+    scale_in._releaser._cordon = cordon  # type: ignore[method-assign, assignment]
+    owned: Any = SimpleNamespace(partition=fleet.partition, wakeup=SimpleNamespace(set=wake))
+    curio.run(scale_in._releaser.release_owned, owned, machines)
     assert released == ["vm-0"]
     assert [machine.state for machine in machines] == [MachineState.RELEASED, MachineState.ACTIVE]
     assert not machines[1].releasing
@@ -69,22 +69,23 @@
 
 def _stop_cancelled(fleet: Fleet, now: float) -> None:
     fleet.time_since_cancellation = lambda job: now - 20.0 if job in ("job-0", "job-1") else None
-    for job in ("job-0", "job-1", "job-2"):  # the last is stopped for another reason
+    for job in ("job-0", "job-1", "job-2"):  # job-2 is stopped for another reason than cancellation
         fleet.partition.stop_job(job, now)
 
 
 @pytest.mark.parametrize(("cut", "first"), [(False, 32.0), (True, 44.0)])
-def test_machines_whose_cancelled_tasks_do_not_leave_are_overdue(cut: bool, first: float) -> None:
-    """Long before the 30 s are over, counted from the cancellation and not from when we heard of it."""
+def test_machines_whose_cancelled_tasks_do_not_stop_are_overdue(cut: bool, first: float) -> None:
+    """Well before the limit of 30 s, counted from the cancellation and not from when this controller received it."""
     fleet = Fleet(4)
     _stop_cancelled(fleet, 25.0)  # cancelled at 20
     assert not overdue_machines(fleet.partition, WORKERS, first - 0.1, cut)
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, first + 0.1, cut)] == ["vm-0", "vm-1"]
-    assert not overdue_machines(fleet.partition, WORKERS, first + 0.1, cut, resumed_at=first - 3.0)  # its own silence
+    # Silence before the end of a stall of this controller itself does not count.
+    assert not overdue_machines(fleet.partition, WORKERS, first + 0.1, cut, resumed_at=first - 3.0)
 
 
-def test_a_machine_that_fell_silent_with_a_cancelled_task_stays_overdue() -> None:
-    """Its lease has run out, which frees its tasks; but a machine that hangs has not ended them."""
+def test_a_silent_machine_with_a_cancelled_task_stays_overdue_after_its_lease_expired() -> None:
+    """Its lease has expired, which frees its tasks for other machines; but a machine that hangs has not ended them."""
     fleet = Fleet(3)
     _stop_cancelled(fleet, 25.0)
     fleet.heartbeat(2, 9, fleet.partition.state.fencing_token(fleet.partition.machines["vm-2"]))
@@ -93,11 +94,11 @@
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 40.0, False)] == ["vm-0", "vm-1"]
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-0"])
     heartbeat = wire.Heartbeat("vm-0", "10.1.0.1:9000", "big", "a", 2, 30, token, [])
-    assert fleet.partition.on_heartbeat(heartbeat, 41.0) is not None  # it goes on in its next session
+    assert fleet.partition.on_heartbeat(heartbeat, 41.0) is not None  # it continues with its next incarnation
     assert [m.name for m in overdue_machines(fleet.partition, WORKERS, 42.0, False)] == ["vm-1"]
 
 
-def test_a_machine_put_on_record_after_its_release_is_gone_at_once() -> None:
+def test_a_machine_recorded_after_its_release_counts_as_released_at_once() -> None:
     fleet = Fleet(2)
     key = records.machine_key("a", "vm-9")
     fleet.partition.on_released("vm-9")
@@ -110,21 +111,21 @@
     fleet = Fleet(3)
     fleet.partition.state.records_read = False
     fleet.time_since_cancellation = lambda job: 1.0 if job == "job-0" else None
-    answers = [
+    responses = [
         fleet.heartbeat(i, 5, fleet.partition.state.fencing_token(fleet.partition.machines[f"vm-{i}"])) for i in (0, 1)
     ]
-    assert answers == [[wire.Command(wire.STOP, f"job-0/{n}", 1, 0.0) for n in range(4)], []]
+    assert responses == [[wire.Command(wire.STOP, f"job-0/{n}", 1, 0.0) for n in range(4)], []]
 
 
-def test_the_next_owner_is_told_of_machines_that_are_gone_though_on_record() -> None:
+def test_the_next_owner_receives_the_released_machines_that_are_still_on_record() -> None:
     fleet = Fleet(3)
-    returns = _returns(
+    scale_in = _scale_in(
         replica=SimpleNamespace(state=fleet.state), owned={"a": SimpleNamespace(partition=fleet.partition)}
     )
-    returns._releaser.remember_released({"vm-1": "a", "vm-7": "a"})
-    told = returns.released_unrecorded()
-    assert told == ["vm-1"]  # the record of vm-7 is gone
-    returns.on_peer_load("n1", {}, told)
+    scale_in._releaser.remember_released({"vm-1": "a", "vm-7": "a"})
+    released = scale_in.released_unrecorded()
+    assert released == ["vm-1"]  # the record of vm-7 is gone
+    scale_in.on_peer_load("n1", {}, released)
     assert fleet.partition.machines["vm-1"].state is MachineState.RELEASED
     assert fleet.partition.machines["vm-0"].state is MachineState.ACTIVE
     assert len(fleet.partition.terminal_attempts) == 1  # its tasks may start elsewhere
--- a/tests/test_round_budget.py
+++ b/tests/test_round_budget.py
@@ -1,4 +1,4 @@
-"""Rounds of decisions on a small share of a processor."""
+"""Decision rounds on a small share of a processor: budgets, pauses, and collecting changes while timers are late."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """The time, in a list of one."""
+    """The monotonic time, in a list of one element that tests may change."""
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
     return now
 
 
-def test_what_comes_before_the_first_decision_is_not_counted(clock: list[float]) -> None:
+def test_time_before_the_first_decision_is_not_charged_to_the_budget(clock: list[float]) -> None:
     budget = RoundBudget(0.01, 0.25)
     clock[0] += 60.0
     assert not budget.spent()
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     ("share", "span_s"), [(4.0, 0.025), (1.0, 0.025), (0.625, 0.04), (0.1, round_budget.LONGEST_S)]
 )
-def test_a_budget_is_processor_time_and_never_holds_others_up_for_long(
+def test_a_budget_is_processor_time_and_has_a_limit_in_clock_time(
     clock: list[float], share: float, span_s: float
 ) -> None:
     budget = RoundBudget(0.025, share)
@@ -43,13 +43,13 @@
     assert budget.spent()
 
 
-def test_the_rest_after_a_round_goes_by_its_processor_time() -> None:
+def test_the_pause_after_a_round_is_proportional_to_its_processor_time() -> None:
     assert rest_s(0.1, 1.0, 8.0, 0.05) == pytest.approx(0.8)
     assert rest_s(0.1, 0.25, 8.0, 0.05) == pytest.approx(0.2)
     assert rest_s(0.001, 0.25, 8.0, 0.05) == 0.05
 
 
-def test_a_late_loop_gathers_more_changes_for_a_round_but_not_for_ever() -> None:
+def test_a_late_event_loop_collects_changes_for_longer_up_to_a_limit() -> None:
     lag = EventLoopLag()
     assert lag.pause_s(0.03) == 0.03
     lag.record(0.1)
@@ -59,6 +59,6 @@
     assert lag.late
     assert lag.pause_s(0.03) == LONGEST_PAUSE_S
     for _ in range(20):
-        lag.record(0.0)  # what was late for once is forgotten soon
+        lag.record(0.0)  # a single late timer stops counting soon
     assert not lag.late
     assert lag.pause_s(0.03) == 0.03
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What must not grow with the fleet: work is counted in calls, not in time."""
+"""Work of a controller that must not grow with the size of the fleet, counted in calls and not in time."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 from tests.sim.clock import Clock
 
 
-def calls(work: Callable[[], Any]) -> int:
-    """Python and C calls that some work makes, without those of finalizers that a collection in between would run."""
+def count_calls(work: Callable[[], Any]) -> int:
+    """Counts the Python and C calls that `work` makes; garbage collection is off, so that no finalizers are counted."""
     count = 0
 
-    def note(_frame: object, event: str, _arg: object) -> None:
+    def on_event(_frame: object, event: str, _arg: object) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
     gc.collect()
     gc.disable()
-    sys.setprofile(note)
+    sys.setprofile(on_event)
     try:
         work()
     finally:
@@ -77,7 +77,7 @@
 
 
 class Fleet:
-    """A part with machines that all run tasks of one job each, as its owner and everybody's view see it."""
+    """A partition whose machines each run four tasks of a job of their own, with the fleet view of these records."""
 
     def __init__(self, machines: int) -> None:
         self.state = ClusterState()
@@ -103,48 +103,48 @@
         return AllocationRecord([TaskEntry(n, state, 1, f"vm-{i}", 1) for n, state in enumerate(states)])
 
     def put(self, key: str, record: Any) -> None:
-        """Changes a record."""
+        """Writes a record to the replica of the state service."""
         self.state.put(key, self.state.revision + 1, record)
         self.state.advance(self.state.revision + 1)
 
     def apply_changes(self, keys: list[str]) -> None:
-        """Has the tables follow changed records."""
+        """Applies changed records to the fleet view and to the partition."""
         self.view.update()
         self.partition.apply_records(self.state, keys, 1.0)
 
     @staticmethod
     def build_heartbeat(i: int, seq: int, token: int) -> wire.Heartbeat:
-        """A report of a machine on which all four tasks run."""
+        """A heartbeat of a machine whose four tasks all run."""
         tasks = [wire.TaskStatus(f"job-{i}/{n}", 1, "running") for n in range(4)]
         return wire.Heartbeat(f"vm-{i}", "10.1.0.1:9000", "big", "a", 1, seq, token, tasks)
 
     def heartbeat(self, i: int, seq: int, token: int) -> object:
-        """Takes such a report in."""
+        """Has the partition process a heartbeat of a machine whose four tasks all run."""
         return self.partition.on_heartbeat(self.build_heartbeat(i, seq, token), 1.0 + seq / 10)
 
 
 def test_a_heartbeat_and_a_change_cost_the_same_in_a_large_fleet() -> None:
-    """The former code walked all runs, allocations and machines on every change and round."""
+    """An earlier version iterated over all attempts, allocations and machines on every change and round."""
     costs = []
     for machines in (20, 400, 4000):
         fleet = Fleet(machines)
         token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-3"])
-        report = calls(lambda f=fleet, t=token: f.heartbeat(3, 3, t))  # type: ignore[misc]
+        heartbeat_calls = count_calls(lambda f=fleet, t=token: f.heartbeat(3, 3, t))  # type: ignore[misc]
         key = str(AllocationKey("a", "job-3", 0))
         fleet.put(key, Fleet.allocation_record(3, records.ENDED))
-        change = calls(lambda f=fleet, k=key: f.apply_changes([k]))  # type: ignore[misc]
-        ends = calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 0.0))  # type: ignore[misc]
-        costs.append((report, change, ends))
+        change_calls = count_calls(lambda f=fleet, k=key: f.apply_changes([k]))  # type: ignore[misc]
+        terminal_calls = count_calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 0.0))  # type: ignore[misc]
+        costs.append((heartbeat_calls, change_calls, terminal_calls))
     assert costs[0] == costs[1] == costs[2]
 
 
-def test_like_jobs_without_room_are_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The second of twenty waiting jobs of like tasks learns from the first that no machine has room."""
-    looks, costs = [0], []
+def test_machines_are_checked_once_for_waiting_jobs_of_equal_requirements(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Of twenty waiting jobs of equal tasks, the others reuse the result of the first: no machine has free capacity."""
+    checks, costs = [0], []
 
     def counted(requirements: Requirements, capacities: Iterable[MachineCapacity]) -> list[MachineCapacity]:
         capacities = list(capacities)
-        looks[-1] += len(capacities)
+        checks[-1] += len(capacities)
         return fitting(requirements, capacities)
 
     monkeypatch.setattr(best_fit_module, "fitting", counted)
@@ -155,20 +155,20 @@
         for i in range(jobs):
             fleet.put(f"{records.JOB}job-{1000 + i}", JobRecord(submission(f"job-{1000 + i}", 100), 1.0))
         fleet.view.update()
-        looks.append(0)
-        costs.append(calls(lambda v=fleet.view: AdmissionPlanner(v, 2.0).run(None, lambda: False, 24)))  # type: ignore[misc]
+        checks.append(0)
+        costs.append(count_calls(lambda v=fleet.view: AdmissionPlanner(v, 2.0).run(None, lambda: False, 24)))  # type: ignore[misc]
     assert (costs[1] - costs[0]) / 19 < 300
-    assert 0 < looks[2] == looks[1]  # no further look at any machine
+    assert 0 < checks[2] == checks[1]  # no machine is checked again
 
 
-def test_like_replicas_without_room_ask_once_whom_to_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """While a large fleet came up, each waiting replica asked every machine in each round."""
-    looks = 0
+def test_preemption_is_checked_once_per_machine_for_equal_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
+    """While a large fleet started, each waiting replica checked every machine in every round."""
+    checks = 0
     fits = MachineCapacity.fits_by_preemption
 
     def counted(capacity: MachineCapacity, requirements: Requirements) -> bool:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         return fits(capacity, requirements)
 
     monkeypatch.setattr(MachineCapacity, "fits_by_preemption", counted)
@@ -176,7 +176,7 @@
     for services in (1, 20):
         fleet = Fleet(50)
         for capacity in fleet.view.capacities.values():
-            capacity.free_cpus = -1000.0  # lower work runs, and to stop it would not be enough
+            capacity.free_cpus = -1000.0  # preempting the tasks of lower priority would not free enough
         for i in range(services):
             job = JobRecord(submission(f"job-9{i}", 5), 1.0)
             job.spec.kind, job.spec.priority = wire.SERVICE, "production"
@@ -184,14 +184,14 @@
             fleet.put(f"{records.JOB}job-9{i}", job)
             fleet.put(key, AllocationRecord([TaskEntry(n) for n in range(5)]))
             fleet.apply_changes([key])
-        looks = 0
+        checks = 0
         TaskPlacer().run_round(fleet.partition, fleet.view, 2.0, lambda: False, 100)
-        seen.append(looks)
+        seen.append(checks)
     assert seen[0] == seen[1] == 50
 
 
-def test_ends_that_wait_to_be_gathered_cost_the_same_however_many_they_are() -> None:
-    """Each round went through all of them, and through all tasks of their allocations."""
+def test_the_cost_of_a_round_is_independent_of_the_number_of_task_ends_not_yet_recorded() -> None:
+    """Each round iterated over all task ends that waited for a batch, and over all tasks of their allocations."""
     costs = []
     for ended in (1, 60):
         fleet = Fleet(1)
@@ -202,11 +202,11 @@
         for attempt in list(fleet.partition.attempts.values())[:ended]:
             fleet.partition.state.transition(attempt, AttemptPhase.EXITED, wire.REASON_DONE)
         assert TerminalRecords(fleet.partition.state).entries(fleet.state, 3.0) == {}
-        costs.append(calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 3.0)))  # type: ignore[misc]
+        costs.append(count_calls(lambda f=fleet: TerminalRecords(f.partition.state).entries(f.state, 3.0)))  # type: ignore[misc]
     assert costs[0] == costs[1]
 
 
-def test_a_heartbeat_that_shows_what_the_last_one_did_is_not_gone_through_again() -> None:
+def test_the_tasks_of_a_heartbeat_equal_to_the_previous_one_are_not_processed_again() -> None:
     fleet = Fleet(1)
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-0"])
     seen: list[str] = []
@@ -227,8 +227,8 @@
     assert len(seen) == 4
 
 
-def test_a_heartbeat_triggers_a_round_only_if_a_task_left_or_a_machine_became_known() -> None:
-    """While ends waited to be batched, every heartbeat of any machine led to a round: 25 a second in a large one."""
+def test_a_heartbeat_triggers_a_round_only_if_a_task_exited_or_a_machine_was_confirmed() -> None:
+    """While task ends waited for a batch, every heartbeat triggered a round: 25 rounds a second in a large fleet."""
     fleet = Fleet(3)
     token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-1"])
     before = fleet.partition.state.scheduling_triggers
@@ -247,9 +247,9 @@
     fleet.partition.on_heartbeat(
         wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 2, fleet.partition.state.lowest_token + 99, []), 2.3
     )
-    assert fleet.partition.state.scheduling_triggers == before + 1  # a token that it was never given
-    shown = fleet.partition.state.fencing_token(fleet.partition.machines["vm-9"])
-    fleet.partition.on_heartbeat(wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, shown, []), 2.4)
+    assert fleet.partition.state.scheduling_triggers == before + 1  # that token was never issued to vm-9
+    issued_token = fleet.partition.state.fencing_token(fleet.partition.machines["vm-9"])
+    fleet.partition.on_heartbeat(wire.Heartbeat("vm-9", "10.1.0.9:9000", "big", "a", 1, 3, issued_token, []), 2.4)
     assert fleet.partition.state.scheduling_triggers == before + 2
 
 
@@ -278,8 +278,8 @@
     assert fitting(requirements, capacities) == [capacity for capacity in capacities if capacity.fits(requirements)]
 
 
-def test_a_waiting_task_of_a_large_array_costs_little() -> None:
-    """What is the same for all tasks of an array is asked once, however many of them wait."""
+def test_a_waiting_task_of_a_large_array_costs_few_calls() -> None:
+    """What is the same for all tasks of an array is evaluated once, however many of them wait."""
     costs = []
     for tasks in (100, 1100):
         fleet = Fleet(20)
@@ -291,7 +291,7 @@
         fleet.apply_changes([key])
         placer = TaskPlacer()
         placer.run_round(fleet.partition, fleet.view, 1.0, lambda: False, 200)
-        costs.append(calls(lambda f=fleet, p=placer: p.run_round(f.partition, f.view, 9.0, lambda: False, 200)))  # type: ignore[misc]
+        costs.append(count_calls(lambda f=fleet, p=placer: p.run_round(f.partition, f.view, 9.0, lambda: False, 200)))  # type: ignore[misc]
     assert (costs[1] - costs[0]) / 1000 <= 6
 
 
@@ -339,7 +339,7 @@
     assert abs(judged - search.cost()) < 1e-9
 
 
-def test_an_entry_changes_only_from_what_the_change_was_decided_for() -> None:
+def test_a_task_entry_changes_only_from_the_state_that_its_change_was_decided_for() -> None:
     """Between a decision and its transaction, the leader may have moved a task, or an owner recorded its end."""
     record = AllocationRecord([TaskEntry(0, records.FREE, 1), TaskEntry(1, records.ASSIGNED, 2, "vm-1", 1)])
     start = TaskEntry(0, records.ASSIGNED, 2, "vm-1", 1)
@@ -347,15 +347,13 @@
     new = merge_changes(record, {0: start, 1: end, 7: start})
     assert new is not None
     assert new.tasks == [start, end]
-    assert (
-        merge_changes(record, {0: TaskEntry(0, records.ASSIGNED, 3, "vm-1", 1)}) is None
-    )  # decided for a later attempt
-    assert merge_changes(record, {1: TaskEntry(1, records.ASSIGNED, 3, "vm-2", 1)}) is None  # it runs
-    assert merge_changes(record, {0: TaskEntry(0, records.ENDED, 1)}) is None  # it never started
+    assert merge_changes(record, {0: TaskEntry(0, records.ASSIGNED, 3, "vm-1", 1)}) is None  # a later attempt
+    assert merge_changes(record, {1: TaskEntry(1, records.ASSIGNED, 3, "vm-2", 1)}) is None  # already assigned
+    assert merge_changes(record, {0: TaskEntry(0, records.ENDED, 1)}) is None  # not assigned
 
 
-class Answering:
-    """A state service that carries out everything at once."""
+class ImmediateStateService:
+    """A state service that carries out every transaction immediately."""
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
         """Like HttpClient.request."""
@@ -363,34 +361,34 @@
 
 
 def test_a_large_transaction_is_not_starved_by_small_ones() -> None:
-    """Small transactions that take all there is must not keep a large one waiting.
+    """Small transactions that use up the whole rate must not starve a large one.
 
-    It once waited for 43 s, and the commands of its part with it (docs/incidents/2026-12-02-commands-behind-
-    records.md).
+    A large one once waited for 43 s, and the commands of its partition with it
+    (docs/incidents/2026-12-02-commands-behind-records.md).
     """
     clock = Clock()
-    waited: list[float] = []
+    wait_s: list[float] = []
 
-    async def play() -> None:
-        store = Store(Answering(), StateLimits(1000.0, 20.0, 8.0, 24), 1)
+    async def measure() -> None:
+        store = Store(ImmediateStateService(), StateLimits(1000.0, 20.0, 8.0, 24), 1)
 
-        async def small() -> None:
+        async def write_small_transactions() -> None:
             while True:
                 await store.txn(wire.Txn([], [wire.Delete("a"), wire.Delete("b")]))
 
         for _ in range(4):
-            await curio.spawn(small, daemon=True)
+            await curio.spawn(write_small_transactions, daemon=True)
         await curio.sleep(5)
         start = clock.now
         await store.txn(wire.Txn([], [wire.Delete(str(i)) for i in range(20)]))
-        waited.append(clock.now - start)
+        wait_s.append(clock.now - start)
 
-    async def bounded() -> None:
-        await curio.ignore_after(60, play)
+    async def run_with_timeout() -> None:
+        await curio.ignore_after(60, measure)
 
-    clock.run(bounded)
-    assert waited
-    assert waited[0] < 3.0
+    clock.run(run_with_timeout)
+    assert wait_s
+    assert wait_s[0] < 3.0
 
 
 NODES = ["n0", "n1", "n2", "n3"]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The local copy of the state service's records, whatever the order in which news arrive."""
+"""The replica of the state service: own commits, watch events and responses may arrive in any order."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from spurarch.storage.store import Store
 from spurarch.storage.transaction import Write
 from tests.sim.clock import Clock
-from tests.test_scale import Answering, submission
+from tests.test_scale import ImmediateStateService, submission
 
-WHERE = AllocationKey("a", "job-1", 0)
-KEY = str(WHERE)
+ALLOCATION = AllocationKey("a", "job-1", 0)
+KEY = str(ALLOCATION)
 
 
 def record(attempt: int) -> AllocationRecord:
     return AllocationRecord([TaskEntry(0, attempt=attempt)])
 
 
-def test_own_commit_known_before_the_watch_brings_it() -> None:
+def test_an_own_commit_is_applied_before_its_watch_event_arrives() -> None:
     state = ClusterState()
     state.apply_commit([Write(KEY, record(1))], 5)
     assert state.version(KEY) == 5
     state.put(KEY, 5, record(1))
     state.advance(5)
-    assert state.allocations["job-1"][WHERE].tasks[0].attempt == 1
+    assert state.allocations["job-1"][ALLOCATION].tasks[0].attempt == 1
 
 
-def test_answer_after_the_watch_does_not_revive_a_deleted_key() -> None:
-    """Our write at 5 and another controller's deletion at 6 arrive by watch before the answer to our write."""
+def test_a_commit_response_after_the_watch_events_does_not_restore_a_deleted_key() -> None:
+    """This controller's write at 5 and another's deletion at 6 arrive by watch before the response to the write."""
     state = ClusterState()
     state.put(KEY, 5, record(1))
     state.delete(KEY, 6)
@@ -44,18 +44,18 @@
     assert "job-1" not in state.allocations
 
 
-def test_old_changes_do_not_revive_what_we_deleted() -> None:
+def test_older_watch_events_do_not_restore_a_key_that_this_controller_deleted() -> None:
     state = ClusterState()
     state.put(KEY, 3, record(1))
     state.apply_commit([Write(KEY, None)], 9)
-    state.put(KEY, 7, record(2))  # older than the deletion, brought by a slower watch
+    state.put(KEY, 7, record(2))  # older than the deletion, from a delayed watch
     assert state.version(KEY) == 0
     state.put(KEY, 11, record(3))
     assert state.version(KEY) == 11
 
 
-def test_a_long_answer_is_taken_in_pieces_and_no_transaction_in_part() -> None:
-    """After a cut of 90 s a controller found that it had stood still: it took all that had happened in one piece."""
+def test_a_long_watch_response_is_applied_in_steps_that_never_split_a_transaction() -> None:
+    """After 90 s without the state service, a controller stalled: it applied all missed changes in one step."""
     events = [
         wire.Event(
             put=f"{records.JOB}job-{n}",
@@ -67,19 +67,19 @@
     seen: list[int] = []
     clock = Clock()
 
-    async def play() -> None:
-        replica = Replica(Store(Answering(), StateLimits(1000.0, 20.0, 8.0, 24), 1))
+    async def apply_and_observe() -> None:
+        replica = Replica(Store(ImmediateStateService(), StateLimits(1000.0, 20.0, 8.0, 24), 1))
 
-        async def look() -> None:
+        async def observe() -> None:
             while len(seen) < 50:
                 seen.append(len(replica.state.jobs))
                 await curio.sleep(0)
 
-        other = await curio.spawn(look)
+        observer = await curio.spawn(observe)
         await replica._apply_changes(wire.Changes(1000, events))
         assert len(replica.state.jobs) == 3000
-        await other.join()
+        await observer.join()
 
-    clock.run(play)
+    clock.run(apply_and_observe)
     assert len(set(seen)) > 5
     assert all(n % 3 == 0 for n in seen)
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -20,7 +20,7 @@
 from spurarch.storage.records import AdmissionRecord, AllocationKey, AllocationRecord, JobRecord, TaskEntry
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store
-from tests.test_scale import Answering, Fleet, calls, submission
+from tests.test_scale import Fleet, ImmediateStateService, count_calls, submission
 
 ONE = Charge.of(1.0, 0.0)
 
@@ -191,11 +191,11 @@
         fleet = fleet_of(jobs)
         audit, now, costs = LedgerAudit(fleet.view), 100.0, []
         while not audit.passes:
-            costs.append(calls(lambda a=audit, n=now: a.check_some(n)))  # type: ignore[misc]
+            costs.append(count_calls(lambda a=audit, n=now: a.check_some(n)))  # type: ignore[misc]
             now += 0.1
         assert len(costs) >= jobs * 5 // ENTRIES_AT_ONCE
         most.append(max(costs[:-1]))
-        assert calls(lambda a=audit, n=100.0 + PASS_INTERVAL_S - 1: a.check_some(n)) < 5  # type: ignore[misc]
+        assert count_calls(lambda a=audit, n=100.0 + PASS_INTERVAL_S - 1: a.check_some(n)) < 5  # type: ignore[misc]
     assert most[1] < 1.5 * most[0]
 
 
@@ -209,7 +209,7 @@
             view.ledger.release_resolved(5, 1)
             view.ledger.release(made)
 
-        costs.append(calls(reserve))
+        costs.append(count_calls(reserve))
     assert costs[0] == costs[1]
 
 
@@ -243,7 +243,7 @@
 
 def two_teams() -> tuple[Replica, Any]:
     """A copy with a job of each of two teams, and its view."""
-    replica = Replica(Store(Answering(), StateLimits(100.0, 100.0, 16.0, 24), 1))
+    replica = Replica(Store(ImmediateStateService(), StateLimits(100.0, 100.0, 16.0, 24), 1))
     replica.state.consistent_from = 0
     view = FleetView(replica.state, [Team("t", quota_cpus=8.0), Team("other", quota_cpus=8.0)])
     for job_id, team in (("job-1", "t"), ("job-2", "other")):
@@ -313,6 +313,6 @@
             fleet.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
         fleet.put(str(AllocationKey("a", "job-0", 0)), Fleet.allocation_record(0, records.ASSIGNED))
         fleet.view.update()
-        return calls(lambda: AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24))
+        return count_calls(lambda: AdmissionPlanner(fleet.view, 2.0).run(None, lambda: False, 24))
 
     assert (cost(800) - cost(400)) / 400 < 24
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -1,4 +1,4 @@
-"""Counts what a controller does when nothing happens, and on a heartbeat that shows nothing new."""
+"""The work of an idle controller, counted; and which HTTP connections end when clients are late or too many."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class StandInStore:
-    """A state service that gives this controller two partitions and has no news."""
+    """A state service in which this controller owns two partitions, and no record changes."""
 
     def __init__(self) -> None:
         self.requests = 0
         self.revision = 10
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Answers as the published protocol says."""
+        """Responds according to the published protocol."""
         self.requests += 1
         if target.startswith("/kv?"):
             return 200, msgspec.json.encode({"items": self._items(target), "has_next": False, "ledger": 9})
@@ -50,56 +50,56 @@
         return [{"key": f"live/part/{zone}", "value": part, "stamp": 7} for zone in ZONES]
 
 
-class Silent:
-    """Serves nobody, and answers nobody."""
+class Unresponsive:
+    """A server without connections, and a client whose requests get no response."""
 
     async def run(self) -> None:
-        """Waits."""
+        """Blocks until cancelled."""
         await curio.sleep(1e9)
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Never answers."""
+        """Never returns a response."""
         await curio.sleep(1e9)
         return 503, b""
 
 
 class StandInNetwork(Network):
-    """A state service, and otherwise silence."""
+    """A network in which only the state service responds."""
 
     def __init__(self) -> None:
         self.store = StandInStore()
 
-    def client(self, address: str, max_connections: int) -> StandInStore | Silent:
-        """The state service at its address."""
-        return self.store if address == "127.0.0.1:4" else Silent()
+    def client(self, address: str, max_connections: int) -> StandInStore | Unresponsive:
+        """The state service for its address, and no responses from others."""
+        return self.store if address == "127.0.0.1:4" else Unresponsive()
 
-    def server(self, *_: object) -> Silent:
-        """Nobody connects."""
-        return Silent()
+    def server(self, *_: object) -> Unresponsive:
+        """A server to which no worker or user connects."""
+        return Unresponsive()
 
-    def back_server(self, *_: object) -> Silent:
-        """No peer connects."""
-        return Silent()
+    def back_server(self, *_: object) -> Unresponsive:
+        """A server to which no peer connects."""
+        return Unresponsive()
 
 
 def platform() -> Platform:
-    """A controller without peers."""
+    """Settings of a controller without peers."""
     deployment = Deployment(
         ZONES, [], Workers(1.0, 10.0, 30.0), StateLimits(200.0, 80.0, 16.0, 24), CloudLimits(8.0, 5.0)
     )
     return Platform("n0", "a", "127.0.0.1:1", "127.0.0.1:2", External("127.0.0.1:3", "127.0.0.1:4"), deployment)
 
 
-def test_an_idle_controller_does_next_to_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_controller_runs_few_rounds_timers_and_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     rounds = 0
-    work = PartitionRounds._run_round
+    run_round = PartitionRounds._run_round
 
-    async def counted(self: PartitionRounds, held: object) -> None:
+    async def counted_round(self: PartitionRounds, owned: object) -> None:
         nonlocal rounds
         rounds += 1
-        await work(self, held)  # type: ignore[arg-type]
+        await run_round(self, owned)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(PartitionRounds, "_run_round", counted)
+    monkeypatch.setattr(PartitionRounds, "_run_round", counted_round)
     network, sleeps = StandInNetwork(), 0
     sleep = curio.sleep
 
@@ -121,25 +121,25 @@
         await service.cancel()
 
     Clock().run(main)
-    assert 0 < rounds <= 4.5 * IDLE_S * len(ZONES)  # rounds that only look at the time
+    assert 0 < rounds <= 4.5 * IDLE_S * len(ZONES)  # rounds that only check for expired times
     assert 0 < sleeps <= 75 * IDLE_S
     assert 0 < network.store.requests <= 4 * IDLE_S
 
 
 class StandInSocket:
-    """A connection whose client sends some bytes and then no more."""
+    """A connection whose client sends the given pieces and nothing afterwards."""
 
     def __init__(self, *pieces: bytes) -> None:
         self.pieces, self.sent = list(pieces), b""
 
     async def recv(self, size: int) -> bytes:
-        """The next piece, or none for ever."""
+        """Returns the next piece, or blocks if there is none."""
         if not self.pieces:
             await curio.sleep(1e9)
         return self.pieces.pop(0)
 
     async def sendall(self, data: bytes) -> None:
-        """Keeps what was sent."""
+        """Records the sent bytes."""
         self.sent += data
 
 
@@ -150,16 +150,18 @@
     ("pieces", "limit_s"),
     [([HEAD], http.SLOW_REQUEST_S), ([HEAD + b"\r\n"], http.IDLE_CONNECTION_S), ([], http.SLOW_REQUEST_S)],
 )
-def test_a_client_that_is_late_is_ended_and_a_slow_handler_is_not(pieces: list[bytes], limit_s: float) -> None:
+def test_the_connection_of_a_slow_client_ends_and_a_slow_handler_is_not_interrupted(
+    pieces: list[bytes], limit_s: float
+) -> None:
     clock, ended = Clock(), 0.0
 
-    async def slow(_: Request) -> Response:
+    async def slow_handler(_: Request) -> Response:
         await curio.sleep(20 * http.SLOW_REQUEST_S)
         return Response(200)
 
     async def main() -> None:
         nonlocal ended
-        sock, server = StandInSocket(*pieces), HttpServer("127.0.0.1:1", slow, 10)
+        sock, server = StandInSocket(*pieces), HttpServer("127.0.0.1:1", slow_handler, 10)
         await curio.spawn(server._end_slow, daemon=True)
         task = await curio.spawn(server._serve_connection, sock, daemon=True)
         began = clock.now
@@ -173,9 +175,9 @@
     assert limit_s <= ended - handled_s <= limit_s + 2 * http.SWEEP_INTERVAL_S
 
 
-def test_with_more_workers_than_connections_the_idlest_gives_way() -> None:
-    """4,000 workers report in turn to a controller with connections for a hundredth of them; each is answered."""
-    clock, most, workers = Clock(), 40, 4000
+def test_with_more_workers_than_connections_the_longest_idle_connection_is_closed() -> None:
+    """4,000 workers send heartbeats in turn to a controller with 40 connections, and each gets a response."""
+    clock, limit, workers = Clock(), 40, 4000
     answered = ended = 0
 
     class Worker(StandInSocket):
@@ -188,42 +190,42 @@
 
     async def main() -> None:
         nonlocal ended
-        server = HttpServer("127.0.0.1:1", handle, most)
+        server = HttpServer("127.0.0.1:1", handle, limit)
         tasks = []
-        busy = Worker(HEAD)  # half a request: nobody's place to take
+        busy = Worker(HEAD)  # has sent half a request, so its connection must not be closed
         tasks.append(await curio.spawn(server._serve_connection, busy, daemon=True))
         await curio.sleep(0)
         for _ in range(workers):
-            if len(server._connections) >= most:
+            if len(server._connections) >= limit:
                 await server._end_idlest()
                 ended += 1
             tasks.append(await curio.spawn(server._serve_connection, Worker(HEAD + b"\r\n"), daemon=True))
             await curio.sleep(0.001)
-            assert len(server._connections) <= most
+            assert len(server._connections) <= limit
         assert not tasks[0].terminated
-        assert [task.terminated for task in tasks[1:]] == [True] * (workers - most + 1) + [False] * (most - 1)
+        assert [task.terminated for task in tasks[1:]] == [True] * (workers - limit + 1) + [False] * (limit - 1)
 
     clock.run(main)
     assert answered == workers
-    assert ended == workers - most + 1
+    assert ended == workers - limit + 1
 
 
-def test_connections_without_a_request_give_way_before_those_of_workers() -> None:
-    clock, most = Clock(), 40
+def test_connections_without_a_request_are_closed_before_those_of_workers() -> None:
+    clock, limit = Clock(), 40
 
     async def handle(_: Request) -> Response:
         return Response(200)
 
     async def main() -> None:
-        server = HttpServer("127.0.0.1:1", handle, most)
+        server = HttpServer("127.0.0.1:1", handle, limit)
         workers = [
             await curio.spawn(server._serve_connection, StandInSocket(HEAD + b"\r\n"), daemon=True) for _ in range(30)
         ]
-        silent = [await curio.spawn(server._serve_connection, StandInSocket(), daemon=True) for _ in range(10)]
+        without_request = [await curio.spawn(server._serve_connection, StandInSocket(), daemon=True) for _ in range(10)]
         await curio.sleep(http.FIRST_REQUEST_S + 0.1)
         for _ in range(10):
             await server._end_idlest()
-        assert all(task.terminated for task in silent)
+        assert all(task.terminated for task in without_request)
         assert not any(task.terminated for task in workers)
 
     clock.run(main)
