--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -1,4 +1,7 @@
-"""A plan of the leader that was overtaken by an earlier one while it waited."""
+"""Admission plans that are outdated when they are written, since another plan was committed meanwhile.
+
+They must not exceed a team's limit or move tasks twice. Also checks when a job is final.
+"""
 
 from __future__ import annotations
 
@@ -29,25 +32,25 @@
 SOURCE = AllocationKey("a", "job-1", 0)
 
 
-def ends_of(fleet: Fleet) -> JobFinalizer:
-    """What decides which jobs are over, without a state service."""
+def finalizer_of(fleet: Fleet) -> JobFinalizer:
+    """A finalizer that decides which jobs are final, without a state service."""
     replica: Any = SimpleNamespace(state=fleet.state, store=SimpleNamespace(reserved_guards=0))
     return JobFinalizer(replica, fleet.view, LIMITS)
 
 
-def writer_of(fleet: Fleet, replica: Any = None, most_changes: int = 24, term: int | None = 0) -> AdmissionWriter:
-    """What decides which records an admission writes, without a state service."""
+def writer_of(fleet: Fleet, replica: Any = None, max_changes: int = 24, term: int | None = 0) -> AdmissionWriter:
+    """A writer of admissions whose replica may be simulated; `term` is the confirmed term of the leader."""
 
     async def wake() -> None:
-        """Nobody to wake."""
+        """No component waits for changes here."""
 
     replica = replica or SimpleNamespace(state=fleet.state)
     membership: Any = SimpleNamespace(confirmed_term=term)
-    return AdmissionWriter(replica, membership, fleet.view, msgspec.structs.replace(LIMITS, txn_ops=most_changes), wake)
+    return AdmissionWriter(replica, membership, fleet.view, msgspec.structs.replace(LIMITS, txn_ops=max_changes), wake)
 
 
 class SlowReplica:
-    """A copy whose transactions are carried out while the test does something else meanwhile."""
+    """A simulated replica; `meanwhile` runs after each transaction is committed and before its result is returned."""
 
     def __init__(self, fleet: Fleet, meanwhile: Callable[[list[Write]], None]) -> None:
         self.state, self._fleet, self._meanwhile = fleet.state, fleet, meanwhile
@@ -57,7 +60,7 @@
     async def commit(
         self, writes: list[Write], guards: object, urgency: object, pinned: dict[str, int]
     ) -> TransactionResult:
-        """Carries a transaction out."""
+        """Commits a transaction and records it."""
         await curio.sleep(0)
         self.committed.append([write.key for write in writes])
         self.pinned.append(pinned)
@@ -68,7 +71,7 @@
 
 
 def limited_fleet(limit: float, *jobs: tuple[str, int]) -> Fleet:
-    """Jobs of one team with a limit."""
+    """A fleet without machines, with jobs of one team that may use `limit` CPUs."""
     fleet = Fleet(0)
     fleet.view = FleetView(fleet.state, [Team("t", quota_cpus=limit)])
     for job_id, tasks in jobs:
@@ -81,8 +84,8 @@
     return AdmissionGrant(job_id, fleet.view.zones.index("a"), [TaskEntry(n) for n in range(tasks)])
 
 
-def test_a_later_batch_of_a_plan_finds_its_team_full() -> None:
-    """The first batch takes its time; another admission takes the rest of the quota, and the plan does not know."""
+def test_a_later_batch_of_a_plan_is_dropped_if_its_team_has_reached_its_limit_meanwhile() -> None:
+    """While the first batch is written, another admission uses the rest of the quota, unknown to the plan."""
     fleet = limited_fleet(6.0, ("job-1", 8), ("job-2", 8), ("job-3", 4))
 
     def meanwhile(writes: list[Write]) -> None:
@@ -90,7 +93,7 @@
             fleet.put(str(AllocationKey("b", "job-3", 0)), AllocationRecord([TaskEntry(n) for n in range(4)]))
 
     replica: Any = SlowReplica(fleet, meanwhile)
-    writer = writer_of(fleet, replica, most_changes=3)
+    writer = writer_of(fleet, replica, max_changes=3)
     grants = [grant_of(fleet, "job-1", 2), grant_of(fleet, "job-2", 4)]
     planned = {job_id: writer.record_versions(job_id) for job_id in ("job-1", "job-2")}
     curio.run(writer.admit, grants, planned, Urgency.STARTS)
@@ -99,24 +102,24 @@
     assert fleet.view.ledger.reserved(0) == Charge()
 
 
-def test_two_admissions_side_by_side_share_one_limit() -> None:
+def test_two_concurrent_admissions_share_one_limit() -> None:
     fleet = limited_fleet(6.0, ("job-1", 4), ("job-2", 4))
     replica: Any = SlowReplica(fleet, lambda _: None)
     writer = writer_of(fleet, replica)
 
-    async def both() -> None:
+    async def admit_concurrently() -> None:
         async with curio.TaskGroup() as group:
             for job_id in ("job-1", "job-2"):
                 planned = {job_id: writer.record_versions(job_id)}
                 await group.spawn(writer.admit, [grant_of(fleet, job_id, 4)], planned, Urgency.STARTS)
 
-    curio.run(both)
+    curio.run(admit_concurrently)
     assert replica.committed == [["live/allot/a/job-1/0"]]
     assert replica.pinned == [{records.LEADER: 0}]
 
 
-def test_returned_tasks_are_charged_again_and_those_that_stay_only_once() -> None:
-    """A record that loses tasks to another zone is written again with the rest, which is charged already."""
+def test_returned_tasks_are_charged_again_and_the_remaining_ones_only_once() -> None:
+    """When tasks move to another zone, their former record is written again with the rest, which is charged already."""
     fleet = limited_fleet(4.0, ("job-1", 4))
     fleet.put(
         str(SOURCE),
@@ -143,11 +146,10 @@
     assert replica.committed == []
 
 
-def test_tasks_that_an_earlier_plan_moved_are_not_moved_again() -> None:
-    """On a standard day 29 tasks ran twice.
+def test_returned_tasks_that_an_earlier_plan_moved_are_not_moved_again() -> None:
+    """Arrays are admitted outside the rounds: a plan made before an earlier one was written moved the same tasks again.
 
-    Arrays are admitted beside the rounds, and a plan made while an earlier one was under way moved the same returned
-    tasks once more.
+    On a day of standard load, 29 tasks ran twice for this reason.
     """
     fleet = Fleet(0)
     fleet.put(f"{records.JOB}job-1", JobRecord(submission("job-1", 3), 0.0))
@@ -164,42 +166,42 @@
     assert writer._is_still_valid("job-1", [], writer.record_versions("job-1"))
 
 
-def test_a_gang_is_done_once_a_member_is_and_none_is_left_on_a_machine() -> None:
-    """Members complete together; until the last one is off its machine, its team is charged for it."""
+def test_a_gang_is_final_once_a_member_has_ended_and_none_is_assigned_to_a_machine() -> None:
+    """Members complete together; the team is charged for each member until it has stopped on its machine."""
     fleet = Fleet(0)
     job = JobRecord(submission("job-1", 3), 0.0)
     job.spec.kind = wire.GANG
     fleet.put(f"{records.JOB}job-1", job)
-    ends = ends_of(fleet)
+    finalizer = finalizer_of(fleet)
     ended, free = TaskEntry(0, records.ENDED, 1), TaskEntry(1, records.FREE, 1)
     finals = []
     for last in (TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1), TaskEntry(2, records.FREE, 1)):
         fleet.put(str(SOURCE), AllocationRecord([ended, free, last]))
-        finals.append(ends.final_record("job-1"))
+        finals.append(finalizer.final_record("job-1"))
     assert finals == [None, FinalRecord(wire.DONE, 3)]
     job.spec.kind = wire.BATCH
     fleet.put(f"{records.JOB}job-2", JobRecord(submission("job-2", 2), 0.0))
     fleet.put(str(AllocationKey("a", "job-2", 0)), AllocationRecord([ended, free]))
-    assert ends.final_record("job-2") is None
+    assert finalizer.final_record("job-2") is None
 
 
-def test_a_controller_that_does_not_lead_gathers_no_changes() -> None:
-    """Ends of jobs have rounds of their own; what they collect from must not grow on controllers that never lead."""
+def test_a_controller_that_does_not_lead_keeps_no_changed_keys() -> None:
+    """The leader finalizes jobs in separate rounds; the keys they process must not accumulate on other controllers."""
     fleet = Fleet(3)
     membership: Any = SimpleNamespace(leading=False, confirmed_term=None)
     replica: Any = SimpleNamespace(
         state=fleet.state, loaded=True, listen=curio.Event, store=SimpleNamespace(reserved_guards=0)
     )
     deployment = Deployment(["a"], [], Workers(1.0, 10.0, 30.0), LIMITS, CloudLimits(1.0, 1.0))
-    nothing: Any = None
+    unused: Any = None
     leader = Leader(
-        LeaderContext(replica, membership, fleet.view, nothing, nothing, deployment, Tuning(), "boot", nothing)
+        LeaderContext(replica, membership, fleet.view, unused, unused, deployment, Tuning(), "boot", unused)
     )
     assert leader._finalizer._changed_keys
 
-    async def play() -> None:
-        await leader._wakeup.set()  # as the controller's beat does
+    async def run_without_leading() -> None:
+        await leader._wakeup.set()  # as the controller's timer does
         await curio.ignore_after(2.0, leader.run)
 
-    Clock().run(play)
+    Clock().run(run_without_leading)
     assert not leader._finalizer._changed_keys
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -23,10 +23,12 @@
 def room(
     index: int, cpus: float, free: float, spot: bool = False, images: frozenset[int] = frozenset()
 ) -> MachineCapacity:
+    """The capacity of a machine with `free` of its `cpus` CPUs free."""
     return MachineCapacity(index, 0, 0, spot, cpus, 0.0, cpus * 4, free, 0.0, cpus * 4, set(images))
 
 
 def need(cpus: float, spot: bool = True, image: int = 0) -> Requirements:
+    """Requirements of a task that needs `cpus` CPUs and hardly any memory."""
     return Requirements(cpus, 0.0, 0.1, None, spot, image)
 
 
@@ -50,6 +52,7 @@
 
 
 def search_of(data: list[tuple[int, int]], machines: int) -> Search:
+    """A search over machines of 16 CPUs each; `data` holds the CPUs and the machine of each replica."""
     capacities = [room(i, 16, 16, images=frozenset([0])) for i in range(machines)]
     tasks = []
     for task, (cpus, at) in enumerate(data):
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
-"""Two or three troubles at random moments, over real controllers: no rule may break, and afterwards all work goes on.
+"""Two to four faults at random times, with real controllers and fixed seeds: no rule may break, and work must go on.
 
-The same days are played each time. `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0
-tests/test_fault_combinations.py` plays as many new ones (docs/operations.md); what it finds becomes a scenario.
+For 500 new plays: `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0
+tests/test_fault_combinations.py` (docs/operations.md); a failure found this way is added as a scenario file.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from tests.sim.scenario_text import Scenario
 
 MORE = int(os.environ.get("SPURARCH_MEETINGS", "0"))
-QUIET_S = 125.0  # after the last trouble
+QUIET_S = 125.0  # after the last fault, until all jobs have to be final
 BASE = """team t max=60
 team u max=4
 type small cpus=4 boot=5 capacity=6
@@ -74,14 +74,14 @@
 
 
 def left(played: Play, but: set[str], may_be: set[str]) -> list[str]:
-    """Jobs that have not ended as they should, apart from some."""
+    """Jobs whose last reported state is not in `may_be`, except the jobs in `but`."""
     refs = [words[1] for _, words in played.scenario.actions if words[0] == "submit" and words[1] not in but]
     last = {job_id: played.told.get(job_id, ["nothing"])[-1] for job_id in refs}
     return [f"{job_id} is left: {state}" for job_id, state in last.items() if state not in may_be]
 
 
 def play(text: str) -> list[str]:
-    """What broke on a day."""
+    """Problems found in one play."""
     scenario = Scenario.parse(BASE + text, {})
     scenario.end = last_trouble(scenario) + QUIET_S
     revoking = {words[1] for _, words in scenario.actions if words[0] == "cancel"}
@@ -95,6 +95,6 @@
     return problems
 
 
-@pytest.mark.parametrize("part", range(4))  # none of them long, on a slow machine either
+@pytest.mark.parametrize("part", range(4))  # in parts, so that no test takes long on a slow machine
 def test_meetings(part: int) -> None:
     play_days(days, play, part, 6, MORE // 4)
--- a/tests/test_mass_starts.py
+++ b/tests/test_mass_starts.py
@@ -27,7 +27,7 @@
 
 
 def returned_tasks(waiting_in_b: int, writes_scarce: bool = False, capacity_added_at: float = -100.0) -> int:
-    """Counts tasks returned by partition a while zone b has free capacity for 32 tasks and waiting tasks of its own."""
+    """Tasks that partition `a` returns while zone `b` has free capacity for 32 tasks and waiting tasks of its own."""
     fleet = Fleet(0)
     fleet.put(records.machine_key("b", "vm-1"), MachineRecord("big", False, "10.1.0.1:9000"))
     add_waiting_job(fleet, "a", "job-1", 10)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -254,6 +254,7 @@
 
 
 def room(index: int, cpus: float, free: float, images: frozenset[int]) -> MachineCapacity:
+    """The capacity of a machine with `free` of its `cpus` CPUs free."""
     return MachineCapacity(index, 0, 0, False, cpus, 0.0, 256.0, free, 0.0, 256.0, set(images))
 
 
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -1,4 +1,4 @@
-"""A controller that starts again answers workers before their leases run out: it loads little before that."""
+"""A restarted controller must answer workers before their leases expire, so it imports few modules before that."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 ROOT = Path(__file__).parent.parent
 
-# What curio, the command line and the platform's file could bring in, and what only rounds need.
-UNUSED = {
+# Modules that curio, the command line or reading the settings could import, and those that only later work needs.
+NOT_NEEDED = {
     "argparse",
     "asyncio",
     "multiprocessing",
@@ -70,9 +70,9 @@
     "spurarch.recovery",
     "spurarch.archive",
 }
-MOST_MODULES = 170
+MAX_MODULES = 170
 
-# Starts a controller over a state service in which it owns a partition, and reports to it as a worker does.
+# Starts a controller that owns a partition in a simulated state service, and sends it a worker's heartbeats.
 SCRIPT = """
 import json, sys
 sys.path[:0] = json.loads(sys.argv[1])
@@ -126,15 +126,15 @@
 """
 
 
-def test_nothing_is_loaded_that_the_first_answer_to_a_worker_does_not_need(tmp_path: Path) -> None:
+def test_modules_not_needed_for_the_first_heartbeat_response_are_not_imported(tmp_path: Path) -> None:
     platform = tmp_path / "platform.toml"
     platform.write_text(PLATFORM)
     paths = json.dumps([str(ROOT), *sys.path])
-    made = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-S", "-E", "-c", SCRIPT, paths, str(platform)], capture_output=True, text=True, check=False
     )
-    assert made.returncode == 0, made.stderr
-    loaded = set(json.loads(made.stdout))
+    assert result.returncode == 0, result.stderr
+    loaded = set(json.loads(result.stdout))
     assert "spurarch.coordination.partition.owner" in loaded
-    assert not UNUSED & loaded
-    assert len(loaded) <= MOST_MODULES
+    assert not NOT_NEEDED & loaded
+    assert len(loaded) <= MAX_MODULES
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -1,4 +1,4 @@
-"""Charges of teams: exact sums, reservations, the comparison with the records, and records that can't be read."""
+"""Charges of teams against their quotas: exact sums, reservations, the audit against records, unreadable records."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
 
 
 def ledger(**limits: float) -> QuotaLedger:
-    """One team, with index 0."""
+    """A ledger of one team, with index 0."""
     return QuotaLedger({0: Team("t", **limits)})
 
 
-def test_fractional_sizes_added_and_taken_off_a_million_times_leave_nothing() -> None:
-    books, random = ledger(quota_cpus=100.0), Random(1)
+def test_fractional_charges_added_and_removed_leave_exactly_zero() -> None:
+    quota_ledger, random = ledger(quota_cpus=100.0), Random(1)
     sizes = [
         Charge.of(random.choice([0.1, 0.3, 0.7, 1.1, 3.3]), random.choice([0.0, 0.1, 0.25])) for _ in range(500_000)
     ]
     for size in sizes:
-        books.adjust(0, size)
+        quota_ledger.adjust(0, size)
     random.shuffle(sizes)
     for size in sizes:
-        books.adjust(0, NO_CHARGE - size)
-    assert books.recorded(0) == NO_CHARGE
+        quota_ledger.adjust(0, NO_CHARGE - size)
+    assert quota_ledger.recorded(0) == NO_CHARGE
 
 
-def test_three_thirds_of_a_limit_fit_and_a_fourth_does_not() -> None:
+def test_three_tasks_of_a_third_of_the_limit_fit_and_a_fourth_does_not() -> None:
     assert ledger(quota_cpus=0.3).tasks_allowed(0, Charge.of(0.1, 0.0), 9) == 3
 
 
@@ -58,56 +58,56 @@
         ({"quota_cpus": 10.0}, Charge.of(0.0, 0.0), 50),
     ],
 )
-def test_cpus_and_gpus_are_limited_each_by_itself(limits: dict[str, float], each: Charge, allowed: int) -> None:
+def test_cpus_and_gpus_are_limited_independently(limits: dict[str, float], each: Charge, allowed: int) -> None:
     assert ledger(**limits).tasks_allowed(0, each, 50) == allowed
 
 
-def test_a_limit_below_what_is_charged_admits_nothing_and_is_no_violation() -> None:
-    books = ledger(quota_cpus=4.0)
-    books.adjust(0, Charge.of(6.0, 0.0))
-    books.check_quotas(whole=False)  # the first reading of all records
-    assert books.tasks_allowed(0, ONE, 5) == 0
-    books.adjust(0, NO_CHARGE - ONE)
-    books.check_quotas(whole=True)
-    assert books.violations.count == 0
-    books.adjust(0, ONE)
-    books.check_quotas(whole=True)
-    assert books.violations.count == 1
+def test_a_quota_lowered_below_the_charges_admits_nothing_and_is_no_violation() -> None:
+    quota_ledger = ledger(quota_cpus=4.0)
+    quota_ledger.adjust(0, Charge.of(6.0, 0.0))
+    quota_ledger.check_quotas(whole=False)  # while the records are first read
+    assert quota_ledger.tasks_allowed(0, ONE, 5) == 0
+    quota_ledger.adjust(0, NO_CHARGE - ONE)
+    quota_ledger.check_quotas(whole=True)
+    assert quota_ledger.violations.count == 0
+    quota_ledger.adjust(0, ONE)
+    quota_ledger.check_quotas(whole=True)
+    assert quota_ledger.violations.count == 1
 
 
-def test_an_unknown_team_is_admitted_nothing() -> None:
+def test_an_unknown_team_is_admitted_no_tasks() -> None:
     assert ledger().tasks_allowed(7, ONE, 5) == 0
 
 
-def test_what_is_reserved_is_not_given_a_second_time() -> None:
-    books = ledger(quota_cpus=4.0)
-    first = books.reserve("job-1", 0, ONE, 3, 10)
+def test_a_reserved_charge_is_not_granted_again() -> None:
+    quota_ledger = ledger(quota_cpus=4.0)
+    first = quota_ledger.reserve("job-1", 0, ONE, 3, 10)
     assert first is not None
-    assert books.reserve("job-2", 0, ONE, 2, 10) is None
-    assert books.tasks_allowed(0, ONE, 9) == 1
-    books.release(first)
-    books.release(first)
-    assert books.reserved(0) == NO_CHARGE
+    assert quota_ledger.reserve("job-2", 0, ONE, 2, 10) is None
+    assert quota_ledger.tasks_allowed(0, ONE, 9) == 1
+    quota_ledger.release(first)
+    quota_ledger.release(first)
+    assert quota_ledger.reserved(0) == NO_CHARGE
 
 
-def test_a_reservation_stands_until_the_copy_shows_what_became_of_it() -> None:
-    books = ledger(quota_cpus=4.0)
-    reservation = books.reserve("job-1", 0, ONE, 3, 10)
+def test_a_reservation_is_kept_until_the_replica_shows_the_outcome_of_its_transaction() -> None:
+    quota_ledger = ledger(quota_cpus=4.0)
+    reservation = quota_ledger.reserve("job-1", 0, ONE, 3, 10)
     assert reservation is not None
-    books.release_resolved(1000, 10)
-    assert books.reserved_for("job-1") == Charge.of(3.0, 0.0), "nothing is known of it"
+    quota_ledger.release_resolved(1000, 10)
+    assert quota_ledger.reserved_for("job-1") == Charge.of(3.0, 0.0), "nothing is known of it"
     reservation.resolved_by_revision = 1200
-    books.release_resolved(1199, 10)
-    assert books.reserved_for("job-1") == Charge.of(3.0, 0.0), "the copy is older"
-    books.release_resolved(1200, 10)
-    assert books.reserved_for("job-1") == NO_CHARGE
+    quota_ledger.release_resolved(1199, 10)
+    assert quota_ledger.reserved_for("job-1") == Charge.of(3.0, 0.0), "the copy is older"
+    quota_ledger.release_resolved(1200, 10)
+    assert quota_ledger.reserved_for("job-1") == NO_CHARGE
 
 
-def test_a_reservation_of_an_earlier_term_goes_with_a_copy_of_the_next() -> None:
-    books = ledger(quota_cpus=4.0)
-    assert books.reserve("job-1", 0, ONE, 3, 10) is not None
-    books.release_resolved(20, 20)
-    assert books.reserved(0) == NO_CHARGE
+def test_a_reservation_of_an_earlier_term_is_released_once_the_replica_has_reached_the_next() -> None:
+    quota_ledger = ledger(quota_cpus=4.0)
+    assert quota_ledger.reserve("job-1", 0, ONE, 3, 10) is not None
+    quota_ledger.release_resolved(20, 20)
+    assert quota_ledger.reserved(0) == NO_CHARGE
 
 
 @given(
@@ -117,7 +117,7 @@
     )
 )
 def test_whatever_happens_to_admissions_the_records_stay_within_the_limit(steps: list[tuple[str, int, int]]) -> None:
-    """Transactions are carried out whenever they like; what the service holds never passes the limit."""
+    """Transactions may be committed at any time; what the state service holds never exceeds the limit."""
     books, under_way, lost, held, revision = ledger(quota_cpus=5.0), [], [], 0, 0
     for what, which, tasks in steps:
         if what == "reserve" and (made := books.reserve(f"job-{which}", 0, ONE, tasks, 1)):
@@ -129,7 +129,7 @@
             if what == "commit":
                 books.adjust(0, reservation.charge)
                 books.release(reservation)
-            else:  # it was carried out and its answer lost: a repeat of it found a conflict at this revision
+            else:  # committed, but its response was lost: a retry found a conflict at this revision
                 reservation.resolved_by_revision = revision
                 lost.append(reservation)
         elif what == "show":
@@ -149,7 +149,7 @@
 
 
 def fleet_of(jobs: int) -> Fleet:
-    """Jobs of four tasks each, three of them on machines and one of them ended."""
+    """Jobs of four tasks each: three are assigned to machines, one has ended."""
     fleet = Fleet(0)
     for i in range(jobs):
         fleet.put(f"{records.JOB}job-{i}", JobRecord(submission(f"job-{i}", 4), 0.0))
@@ -158,15 +158,14 @@
     return fleet
 
 
-def test_a_charge_that_went_missing_is_found_and_its_team_waits_until_all_is_equal_again() -> None:
+def test_a_missing_charge_is_found_and_its_team_is_admitted_nothing_until_a_whole_pass_matches() -> None:
     fleet = fleet_of(3)
     view, audit = fleet.view, LedgerAudit(fleet.view)
     audit.check_all()
     assert view.ledger.violations.count == 0
     allocation = AllocationKey("a", "job-1", 0)
-    view._book(
-        allocation, view.jobs["job-1"], view._booked.pop(allocation), -1
-    )  # what the former table did with a new job
+    # Removes the charge of the allocation, as an earlier version did when a new job arrived.
+    view._book(allocation, view.jobs["job-1"], view._booked.pop(allocation), -1)
     view.ledger.adjust(0, Charge.of(-3.0, 0.0))
     audit.check_all()
     assert "job charge differs from its records job=job-1 charged=0 recorded=3" in view.ledger.violations.messages[0]
@@ -185,7 +184,7 @@
     assert fleet.view.ledger.recorded(0) == Charge.of(6.0, 0.0)
 
 
-def test_the_audit_takes_little_at_a_time_however_large_the_fleet_and_rests_between_passes() -> None:
+def test_the_audit_costs_the_same_per_step_in_a_large_fleet_and_pauses_between_passes() -> None:
     most = []
     for jobs in (400, 8000):
         fleet = fleet_of(jobs)
@@ -213,7 +212,7 @@
     assert costs[0] == costs[1]
 
 
-# Records read in any order, and unreadable ones
+# Records in any order, and unreadable ones
 
 
 def test_an_allocation_that_is_read_before_its_job_is_charged_with_it() -> None:
@@ -231,7 +230,7 @@
     assert not fleet.view._allocations_without_job
 
 
-def test_allocations_of_jobs_that_are_over_are_not_kept_for_ever() -> None:
+def test_a_deleted_allocation_without_a_job_record_is_not_kept() -> None:
     fleet = Fleet(0)
     allocation = AllocationKey("a", "job-1", 0)
     fleet.put(str(allocation), Fleet.allocation_record(1, records.ENDED))
@@ -242,7 +241,7 @@
 
 
 def two_teams() -> tuple[Replica, Any]:
-    """A copy with a job of each of two teams, and its view."""
+    """A replica with one job of each of two teams, and its fleet view."""
     replica = Replica(Store(ImmediateStateService(), StateLimits(100.0, 100.0, 16.0, 24), 1))
     replica.state.consistent_from = 0
     view = FleetView(replica.state, [Team("t", quota_cpus=8.0), Team("other", quota_cpus=8.0)])
@@ -266,7 +265,7 @@
         (f"{records.JOB}job-9", JOB_WITH_A_WRONG_FIELD),
     ],
 )
-def test_a_team_with_an_unreadable_record_is_admitted_nothing_and_others_go_on(
+def test_a_team_with_an_unreadable_record_is_admitted_nothing_and_others_are_not_affected(
     key: str, value: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     replica, view = two_teams()
@@ -283,7 +282,7 @@
     assert view.ledger.tasks_allowed(mine, ONE, 5) == 5
 
 
-def test_a_readable_record_in_the_place_of_an_unreadable_one_is_charged() -> None:
+def test_a_readable_record_that_replaces_an_unreadable_one_is_charged() -> None:
     replica, view = two_teams()
     key = str(AllocationKey("a", "job-1", 0))
     replica.state.put_encoded(key, 2, msgspec.Raw(b"7"))
@@ -295,7 +294,7 @@
     assert view.ledger.tasks_allowed(view.teams.index("t"), ONE, 9) == 5
 
 
-def test_the_team_of_a_job_is_read_from_what_is_left_of_its_record() -> None:
+def test_the_team_of_a_job_is_read_from_a_partly_unreadable_record() -> None:
     good = msgspec.json.encode(JobRecord(submission("job-1", 1), 0.0))
     assert records.team_of(f"{records.JOB}job-1", good) == "t"
     assert records.team_of(f"{records.JOB}job-9", JOB_WITH_A_WRONG_FIELD) == "t"
@@ -303,8 +302,8 @@
     assert records.team_of(f"{records.ADMISSION}job-9", b"1") is None
 
 
-def test_a_job_that_waits_for_its_team_costs_a_round_little() -> None:
-    """Most jobs of a team at its limit are asked about in every round: it took 19 calls for each before the ledger."""
+def test_a_job_that_waits_for_its_teams_quota_costs_a_round_few_calls() -> None:
+    """Every round checks the waiting jobs of a team at its limit; before the ledger existed, each took 19 calls."""
 
     def cost(jobs: int) -> int:
         fleet = Fleet(0)
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -1,7 +1,7 @@
-"""Teams that are always at their limits, and troubles at random moments that leave totals old: in virtual time.
+"""Teams at their limits, with random faults that make charges outdated; fixed seeds, in virtual time.
 
-The same days are played each time. `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0
-tests/test_team_limit_combinations.py` plays as many new ones; what it finds becomes a scenario.
+For 200 new plays: `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0
+tests/test_team_limit_combinations.py`; a failure found this way is added as a scenario file.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
 
 
 def play(text: str) -> list[str]:
-    """What broke on a day. Services end at its end, so that all that waits for their team's limit can run."""
+    """Problems found in one play. Services are cancelled at the end, so that jobs waiting for their quota can run."""
     jobs = [line.split()[3] for line in (BASE + text).splitlines() if " submit " in line]
     services = [line.split()[3] for line in (BASE + text).splitlines() if "kind=daemon" in line]
     late = "\n".join(f"at {DAY_S + 15} cancel {job_id}" for job_id in services if job_id != "job-1")
@@ -93,7 +93,7 @@
 
 
 def beyond_limit(spec: dict[str, Any]) -> bool:
-    """The job can never run: all of its tasks together, or one of an array, need more than the team may use."""
+    """Whether the job can never run: its tasks together, or a single one of an array, exceed the quota of the team."""
     tasks = 1 if spec["gait"] == "batch" else spec["legs"]
     return bool(tasks * spec["vcpus"] > LIMITS[spec["crew"]])
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""What the version in production wrote is read here, and what is written here it reads: frozen shapes, both ways."""
+"""Records and messages must be readable across versions, by this version and by the one in production."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from spurarch.storage.rate_limits import AdaptiveFactor
 from spurarch.storage.records import AllocationRecord, MemberRecord, TaskEntry
 
-# As the version before gangs writes them.
+# As written by the version before gangs.
 FROZEN_RECORDS = {
     "live/job/job-1": b'{"spec":{"ref":"job-1","circuit":"c","crew":"t","gait":"gang","precedence":"high","legs":2,'
     b'"vcpus":1.0,"gpus":0.0,"memory_gb":2.0,"kit":"i","pull_gb":0.5,"together":true,"spread":false,"lendable":true,'
@@ -46,7 +46,7 @@
 
 
 class EarlierLoad(msgspec.Struct, tag="load", array_like=True):
-    """Its message on load."""
+    """The load message of the version before gangs."""
 
     node: str
     writes: float
@@ -62,23 +62,23 @@
     assert msgspec.json.encode(record) == FROZEN_RECORDS[key]
 
 
-def test_a_member_without_a_version_is_of_the_earlier_one() -> None:
+def test_a_member_record_without_a_version_counts_as_the_earlier_version() -> None:
     member = records.decode(records.MEMBER + "n0", FROZEN_MEMBER)
     assert isinstance(member, MemberRecord)
     assert member.version < records.GANG_VERSION
 
 
-def test_the_earlier_version_reads_a_member_record_and_drops_only_the_version() -> None:
+def test_the_earlier_version_reads_a_member_record_and_ignores_only_the_version() -> None:
     written = msgspec.json.encode(MemberRecord("n0", "x", "a", ["b"], [], records.PROGRAM_VERSION))
-    again = msgspec.json.encode(msgspec.json.decode(written, type=EarlierMember))
-    assert again == FROZEN_MEMBER
+    as_read = msgspec.json.encode(msgspec.json.decode(written, type=EarlierMember))
+    assert as_read == FROZEN_MEMBER
 
 
 @pytest.mark.parametrize("frame", FROZEN_MESSAGES)
-def test_messages_of_the_earlier_version_are_understood(frame: bytes) -> None:
-    hint = peer_messages.decode(frame)
-    assert hint is not None
-    assert peer_messages.encode(hint)[1 : len(frame)] == frame[1:]  # the first byte counts the fields
+def test_messages_of_the_earlier_version_are_decoded(frame: bytes) -> None:
+    message = peer_messages.decode(frame)
+    assert message is not None
+    assert peer_messages.encode(message)[1 : len(frame)] == frame[1:]  # the first byte encodes the number of fields
 
 
 def test_the_earlier_version_reads_a_longer_message() -> None:
@@ -87,11 +87,11 @@
 
 
 @pytest.mark.parametrize("frame", [b"\x92\xaaunheard-of\x01", b"", b"\xc1", b"\x91\xa4load"])
-def test_unknown_messages_are_passed_over(frame: bytes) -> None:
+def test_unknown_messages_are_ignored(frame: bytes) -> None:
     assert peer_messages.decode(frame) is None
 
 
-def test_sizes_keep_within_what_is_allowed_now_and_later() -> None:
+def test_sizes_and_rates_respect_the_current_and_the_announced_limits() -> None:
     limits = StateLimits(200.0, 80.0, 16.0, 24, NextStateLimits(None, 56.0, 2.0, 8))
     assert (limits.value_bytes, limits.transaction_changes, limits.transaction_guards) == (2048, 8, 32)
     assert (limits.lowest_rps, limits.lowest_write_rps) == (200.0, 56.0)
@@ -107,7 +107,7 @@
     assert len(msgspec.json.encode(AllocationRecord([entry] * most))) <= value_bytes
 
 
-def test_a_rate_falls_at_once_and_no_further_than_announced() -> None:
+def test_a_rate_factor_falls_at_once_to_the_announced_minimum_and_recovers_in_steps() -> None:
     factor = AdaptiveFactor(0.7, 0.7, 0.02)
     for _ in range(5):
         factor.decrease()
