--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,16 +13,16 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Reads the list of tests that are known to fail."""
+    """Registers the plugin for tests that are known to fail."""
     config.pluginmanager.register(KnownRedPlugin(config.rootpath))
 
 
 @pytest.fixture(scope="module", autouse=True)
 def _collect_garbage() -> Iterator[None]:
-    """Has what the tests of a module left unclosed fail the last of them.
+    """Collects garbage after each module, so that resources left unclosed fail the last test of that module.
 
-    Only what the collector finds while a test runs counts: a test of another module would fail for it, or none, as a
-    worker process of pytest-xdist that ends reports nothing more.
+    Unclosed resources fail the test during which they are collected. Without this fixture they would fail a test of
+    another module, or none: at its end, a worker process of pytest-xdist reports no further failures.
     """
     yield
     gc.collect()
--- a/tests/inner_run.py
+++ b/tests/inner_run.py
@@ -1,4 +1,4 @@
-"""Runs of pytest within a test: a project of one file of tests, with the hooks and settings of this one."""
+"""Runs pytest within a test, on a project of one test file with the hooks and settings of this project."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InnerRun:
-    """One project, whose tests are played in one process or in several."""
+    """A project whose tests run in one process or in several."""
 
     def __init__(self, pytester: pytest.Pytester, processes: tuple[str, ...]) -> None:
         self.path = pytester.path
@@ -24,10 +24,10 @@
         pytester.makeconftest(Path(conftest.__file__).read_text())
         shutil.copy(ROOT / "pyproject.toml", self.path)
 
-    def play(self, tests: str, *words: str) -> pytest.RunResult:
-        """Plays the tests; without further words all of them."""
+    def play(self, tests: str, *arguments: str) -> pytest.RunResult:
+        """Runs the tests with the given command-line arguments, or all of them if there are none."""
         self._pytester.makepyfile(test_it=tests)
-        selection = words or ("test_it.py",)
+        selection = arguments or ("test_it.py",)
         return self._pytester.runpytest_subprocess(
             "-p", "no:cacheprovider", "-p", "xdist", *self._processes, *selection
         )
@@ -35,9 +35,9 @@
 
 @pytest.fixture(params=[ONE_PROCESS, SIDE_BY_SIDE], ids=["one process", "side by side"])
 def inner_run(request: pytest.FixtureRequest, pytester: pytest.Pytester, monkeypatch: pytest.MonkeyPatch) -> InnerRun:
-    """A project that knows nothing of the run that this test is part of."""
+    """A project whose run is isolated from the environment of the surrounding pytest run."""
     for name in [name for name in os.environ if name.startswith("PYTEST_")]:
         monkeypatch.delenv(name)
     monkeypatch.setenv("PYTHONPATH", str(ROOT))
-    monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")  # an import of hypothesis takes longer than all the rest
+    monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")  # importing hypothesis takes longer than the run
     return InnerRun(pytester, request.param)
--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -1,6 +1,7 @@
-"""An independent log of what workers and users saw, and a checker of every job's outcome.
+"""An independent log of what workers and users observe, and a checker of every job's outcome.
 
-The log knows nothing of the controllers: workers write what they start and complete, users what they are told.
+The log uses no state of the controllers: workers add the tasks that they start and complete, users the responses that
+they receive.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One thing that a worker or a user saw."""
+    """One observation of a worker or a user."""
 
     at: float
     kind: str
@@ -35,7 +36,7 @@
 
 @dataclass
 class OutcomeLog:
-    """Events in the order in which they were seen."""
+    """Events in the order of their observation."""
 
     tasks: dict[str, int] = field(default_factory=dict)  # by job; 0 for services
     events: list[Event] = field(default_factory=list)
@@ -45,13 +46,13 @@
         self.events.append(event)
 
     def write(self, path: Path) -> None:
-        """Keeps the log as lines of JSON."""
+        """Writes the log to a file, as lines of JSON."""
         lines = [json.dumps({"tasks": self.tasks}), *(json.dumps(asdict(event)) for event in self.events)]
         path.write_text("\n".join(lines) + "\n")
 
 
 def check(log: OutcomeLog) -> list[str]:
-    """Everything that is wrong with the outcomes of the jobs that were accepted."""
+    """All violations in the outcomes of the jobs, one text each."""
     by_job: dict[str, list[Event]] = defaultdict(list)
     for event in log.events:
         by_job[event.job].append(event)
@@ -63,23 +64,23 @@
 
 def _check_job(job: str, tasks: int, events: list[Event]) -> list[str]:
     out = []
-    told = [event.detail for event in events if event.kind == TOLD]
+    reported = [event.detail for event in events if event.kind == TOLD]
     if not any(event.kind == ACCEPTED for event in events):
         return [f"{job}: was never accepted"]
-    finals = list(dict.fromkeys(state for state in told if state in FINAL))
-    asked = any(event.kind == ASKED_TO_CANCEL for event in events)
+    finals = list(dict.fromkeys(state for state in reported if state in FINAL))
+    cancel_requested = any(event.kind == ASKED_TO_CANCEL for event in events)
     if len(finals) > 1:
         out.append(f"{job}: told {' and '.join(finals)}")
-    if finals and told[told.index(finals[0]) :] != finals[:1] * len(told[told.index(finals[0]) :]):
-        out.append(f"{job}: told {told[-1]} after {finals[0]}")
-    if not finals and (tasks or asked):
+    if finals and reported[reported.index(finals[0]) :] != finals[:1] * len(reported[reported.index(finals[0]) :]):
+        out.append(f"{job}: told {reported[-1]} after {finals[0]}")
+    if not finals and (tasks or cancel_requested):
         out.append(f"{job}: has no final answer")
-    if finals == ["aborted"] and not asked:
+    if finals == ["aborted"] and not cancel_requested:
         out.append(f"{job}: aborted, though nobody asked")
     if finals == ["done"]:
         out += _check_done(job, tasks, events)
-    if not tasks and not asked and told[-1:] != ["running"]:
-        out.append(f"{job}: a service that is {told[-1] if told else 'unknown'} at the end")
+    if not tasks and not cancel_requested and reported[-1:] != ["running"]:
+        out.append(f"{job}: a service that is {reported[-1] if reported else 'unknown'} at the end")
     return out
 
 
@@ -91,20 +92,20 @@
 
 
 def _overlaps(events: list[Event]) -> list[str]:
-    """Tasks that started on one machine while they were on another."""
-    out, where = [], dict[tuple[str, int], str]()
+    """Tasks that started on one machine while they ran on another."""
+    out, machine_of = [], dict[tuple[str, int], str]()
     for event in events:
         key = (event.job, event.task)
         if event.kind == STARTED:
-            if where.get(key, event.machine) != event.machine:
-                out.append(f"{event.job}/{event.task}: on {where[key]} and {event.machine}")
-            where[key] = event.machine
-        elif event.kind in (LEFT, COMPLETED) and where.get(key) == event.machine:
-            del where[key]
+            if machine_of.get(key, event.machine) != event.machine:
+                out.append(f"{event.job}/{event.task}: on {machine_of[key]} and {event.machine}")
+            machine_of[key] = event.machine
+        elif event.kind in (LEFT, COMPLETED) and machine_of.get(key) == event.machine:
+            del machine_of[key]
     return out
 
 
 def repeated_starts(log: OutcomeLog) -> int:
-    """Starts of tasks beyond the first of each: work that was done again, or begun again after a loss."""
+    """Number of task starts beyond the first of each task: work repeated or restarted, for example after a failure."""
     starts = [(event.job, event.task) for event in log.events if event.kind == STARTED]
     return len(starts) - len(set(starts))
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,4 +1,4 @@
-"""Tests side by side do not take each other's addresses."""
+"""Tests that run in parallel must not use each other's addresses."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def few_ports(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """All ports there are, which this test has for itself: reserved under one name, and used under another."""
+    """The only ports of a test: reserved under the usual holder name, and free under the holder name of the test."""
     with ReservedAddresses() as own:
         found = sorted(ports(own, COUNT))
         monkeypatch.setattr(addresses, "SERVER_PORTS", found)
@@ -37,7 +37,7 @@
         yield found
 
 
-def test_addresses_are_reserved_once_also_for_other_processes(few_ports: list[int]) -> None:
+def test_an_address_is_reserved_only_once_across_processes(few_ports: list[int]) -> None:
     script = OTHER_PROCESS.format(ports=few_ports, name=addresses.HOLDER_NAME)
     with ReservedAddresses() as first, ReservedAddresses() as second:
         taken = ports(first, 2) | ports(second, 1)
@@ -45,19 +45,19 @@
     assert taken | {int(other.stdout.rpartition(":")[2])} == set(few_ports)
 
 
-def test_a_closed_reservation_gives_its_addresses_back(few_ports: list[int]) -> None:
+def test_a_closed_reservation_releases_its_addresses(few_ports: list[int]) -> None:
     for _ in range(2):
         with ReservedAddresses() as reserved:
             assert ports(reserved, COUNT) == set(few_ports)
 
 
-def test_an_address_on_which_somebody_listens_is_not_reserved(few_ports: list[int]) -> None:
+def test_an_address_in_use_by_another_socket_is_not_reserved(few_ports: list[int]) -> None:
     with socket.socket() as listener, ReservedAddresses() as reserved:
         listener.bind(("127.0.0.1", few_ports[0]))
         assert ports(reserved, COUNT - 1) == set(few_ports[1:])
 
 
-def test_that_no_address_is_left_is_an_error(few_ports: list[int]) -> None:
+def test_reserving_without_a_free_address_is_an_error(few_ports: list[int]) -> None:
     with ReservedAddresses() as reserved:
         ports(reserved, COUNT)
         with pytest.raises(OSError, match=f"no free port from {few_ports[0]}"):
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages in whatever pieces and forms they arrive; no I/O."""
+"""Parsing and rendering of HTTP messages, which may arrive in any pieces and may be malformed; no I/O."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     ],
     ids=["open", "close", "old", "old-open", "upgrade"],
 )
-def test_the_connection_ends_when_the_client_asks_for_it(raw: bytes, closing: bool) -> None:
+def test_the_connection_closes_when_the_client_requests_it(raw: bytes, closing: bool) -> None:
     parser = RequestParser()
     parser.feed(raw)
     assert len(requests_of(parser)) == 1
@@ -87,14 +87,14 @@
         (b"GET /" + b"x" * MAX_HEAD, 431),
     ],
 )
-def test_what_is_no_request_is_refused(raw: bytes, status: int) -> None:
+def test_a_malformed_or_oversized_request_is_refused(raw: bytes, status: int) -> None:
     parser = RequestParser()
     with pytest.raises(MessageError) as refused:
         parser.feed(raw)
     assert refused.value.response.status == status
 
 
-def test_leave_to_send_the_body_is_asked_for_once() -> None:
+def test_expect_100_continue_is_reported_once() -> None:
     parser = RequestParser()
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
     assert parser.wants_continue()
@@ -103,7 +103,7 @@
     assert requests_of(parser) == [Request("POST", "/", b"ab")]
 
 
-def test_a_response_is_rendered_and_read_again() -> None:
+def test_a_rendered_response_is_parsed_to_the_same_response() -> None:
     response = Response(421, b'{"steward":"n"}', [("Retry-After", "2")])
     for size in (1, 7, 1000):
         parser, raw = ResponseParser(), render_response(response)
@@ -118,7 +118,7 @@
     assert not closed.keep_alive
 
 
-def test_interim_and_unsized_responses_are_read() -> None:
+def test_interim_responses_and_responses_without_a_length_are_parsed() -> None:
     parser = ResponseParser()
     parser.feed(b"HTTP/1.1 100 Continue\r\n\r\n")
     assert not parser.complete
@@ -133,7 +133,7 @@
     "pieces",
     [[b"nonsense\r\n\r\n"], [b""], [b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", b""], [b"HTTP/1.1 2", b""]],
 )
-def test_what_is_no_response_is_no_answer(pieces: list[bytes]) -> None:
+def test_a_malformed_or_incomplete_response_raises_an_error(pieces: list[bytes]) -> None:
     parser = ResponseParser()
     for piece in pieces[:-1]:
         parser.feed(piece)
@@ -141,7 +141,7 @@
         parser.feed(pieces[-1])
 
 
-def test_a_target_cannot_carry_more_than_a_target() -> None:
+def test_an_invalid_request_target_is_refused() -> None:
     assert render_request("GET", "h:1", "/kv/a", None) == b"GET /kv/a HTTP/1.1\r\nHost: h:1\r\n\r\n"
     for target in ("/kv/a b", "/kv/a\r\nX: y", "/kv/\xe9", ""):
         with pytest.raises(ValueError, match="invalid target"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail passes over just these, and can't hide anything else."""
+"""The list of tests known to fail must tolerate only these tests, and must not hide any other failure."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 TESTS = "def test_bad():\n    assert False\n\ndef test_good():\n    pass\n"
 
 
-def play(inner_run: InnerRun, listed: str, *words: str) -> pytest.RunResult:
+def play(inner_run: InnerRun, listed: str, *arguments: str) -> pytest.RunResult:
     (inner_run.path / FILE).write_text(listed)
-    return inner_run.play(TESTS, *words)
+    return inner_run.play(TESTS, *arguments)
 
 
-def test_a_listed_test_is_passed_over_and_printed_once(inner_run: InnerRun) -> None:
+def test_the_failure_of_a_listed_test_is_tolerated_and_printed_once(inner_run: InnerRun) -> None:
     result = play(inner_run, "test_it.py::test_bad; the cause; 7\n")
     result.assert_outcomes(passed=1, xfailed=1)
     assert result.ret == 0
     assert result.outlines.count("KNOWN RED: test_it.py::test_bad: the cause (issue 7)") == 1
 
 
-def test_a_test_that_is_not_listed_fails_the_run(inner_run: InnerRun) -> None:
+def test_a_failing_test_that_is_not_listed_fails_the_run(inner_run: InnerRun) -> None:
     result = play(inner_run, "")
     result.assert_outcomes(passed=1, failed=1)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
@@ -35,14 +35,14 @@
     result.stdout.fnmatch_lines(["*XPASS(strict)* the cause (issue 7)"])
 
 
-def test_an_unknown_test_fails_the_run(inner_run: InnerRun) -> None:
+def test_a_listed_test_that_does_not_exist_fails_the_run(inner_run: InnerRun) -> None:
     result = play(inner_run, "test_it.py::test_none; c; 7\n")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     assert f"ERROR: {FILE}: no such test: test_it.py::test_none" in result.errlines
     result.assert_outcomes()
 
 
-def test_a_selection_by_hand_need_not_hold_the_listed_tests(inner_run: InnerRun) -> None:
+def test_a_selection_on_the_command_line_may_omit_listed_tests(inner_run: InnerRun) -> None:
     result = play(inner_run, "test_it.py::test_bad; c; 7\n", "test_it.py::test_good")
     result.assert_outcomes(passed=1)
     assert result.ret == 0
@@ -56,7 +56,7 @@
         ("a; ; 1\n", "expected `test; cause; issue`, got 'a; ; 1'"),
     ],
 )
-def test_a_list_that_is_too_long_or_incomplete_is_refused(inner_run: InnerRun, listed: str, message: str) -> None:
+def test_a_list_with_too_many_or_incomplete_lines_is_refused(inner_run: InnerRun, listed: str, message: str) -> None:
     with pytest.raises(pytest.UsageError):
         parse(listed)
     result = play(inner_run, listed)
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -1,4 +1,4 @@
-"""The door: whatever comes in, the answer is right and the process unharmed."""
+"""Malformed requests, settings and tuning are refused with a precise error, and never stop the process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.sim.addresses import ReservedAddresses
 
 ROOT = Path(__file__).parent.parent
-GOOD = {
+VALID_SUBMISSION = {
     "ref": "job-1",
     "circuit": "c",
     "crew": "t",
@@ -58,8 +58,8 @@
 )
 
 
-def test_a_good_submission_is_taken_and_unknown_fields_ignored() -> None:
-    spec = wire.submission_decoder.decode(msgspec.json.encode({**GOOD, "new": [1], "cutoff_s": None}))
+def test_a_valid_submission_is_accepted_and_unknown_fields_are_ignored() -> None:
+    spec = wire.submission_decoder.decode(msgspec.json.encode({**VALID_SUBMISSION, "new": [1], "cutoff_s": None}))
     assert (spec.id, spec.tasks, spec.deadline_s) == ("job-1", 1, None)
 
 
@@ -80,15 +80,15 @@
         ("memory_gb", None),
     ],
 )
-def test_wrong_fields_are_refused(field: str, value: object) -> None:
+def test_invalid_fields_are_refused(field: str, value: object) -> None:
     with pytest.raises(msgspec.ValidationError):
-        wire.submission_decoder.decode(msgspec.json.encode({**GOOD, field: value}))
+        wire.submission_decoder.decode(msgspec.json.encode({**VALID_SUBMISSION, field: value}))
 
 
-@pytest.mark.parametrize("field", sorted(GOOD))
+@pytest.mark.parametrize("field", sorted(VALID_SUBMISSION))
 def test_missing_fields_are_refused(field: str) -> None:
     with pytest.raises(msgspec.ValidationError):
-        wire.submission_decoder.decode(msgspec.json.encode({k: v for k, v in GOOD.items() if k != field}))
+        wire.submission_decoder.decode(msgspec.json.encode({k: v for k, v in VALID_SUBMISSION.items() if k != field}))
 
 
 @settings(max_examples=150)
@@ -113,7 +113,7 @@
     ],
     ids=["nonsense", "no-host", "long-head", "long-body", "bad-length", "handler-fails", "good"],
 )
-def test_server_answers_whatever_comes(raw: bytes, status: bytes) -> None:
+def test_the_server_answers_malformed_and_oversized_requests(raw: bytes, status: bytes) -> None:
     async def handler(request: Request) -> Response:
         if request.target == "/boom":
             raise RuntimeError("boom")
@@ -124,20 +124,20 @@
         await curio.sleep(0)
         async with await curio.open_connection(*address.split(":")) as sock:
             await sock.sendall(raw)
-            answer: bytes = await sock.recv(1000)
+            response: bytes = await sock.recv(1000)
             async with aclosing(HttpClient(address)) as client:
-                again, _ = await client.request("GET", "/x", None, 5.0)  # others are still served
-        assert again == 200
+                next_status, _ = await client.request("GET", "/x", None, 5.0)  # other requests are still served
+        assert next_status == 200
         await server.cancel()
-        return answer
+        return response
 
     with ReservedAddresses() as addresses:
         assert curio.run(main, addresses.reserve()).split(b" ")[1] == status
 
 
 @pytest.mark.parametrize(("types", "status"), [(1, None), (60, None), (150, 422)])
-def test_a_job_too_large_for_a_record_is_refused_for_good(types: int, status: int | None) -> None:
-    """Such a job was answered with 503, again and again: the state service never takes its record."""
+def test_a_job_too_large_for_a_record_is_refused_permanently(types: int, status: int | None) -> None:
+    """Such a job was refused with 503 on every retry, although the state service can never store its record."""
     state = StateLimits(200.0, 80.0, 16.0, 24, NextStateLimits(value_kb=2.0))
     deployment = Deployment(["a"], [Team("t")], Workers(1.0, 10.0, 30.0), state, CloudLimits(8.0, 5.0))
     names = [f"machine-type-{n}" for n in range(types)]
@@ -145,7 +145,7 @@
         machine_types={name: wire.MachineType(name, 8.0, 0.0, 8.0, 1.0, 1.0, 1.0, ["a"]) for name in names}
     )
     feasibility = FeasibilityCheck(view, deployment)  # type: ignore[arg-type]
-    spec = wire.submission_decoder.decode(msgspec.json.encode({**GOOD, "builds": names}))
+    spec = wire.submission_decoder.decode(msgspec.json.encode({**VALID_SUBMISSION, "builds": names}))
     refusal = feasibility.check(spec)
     assert (refusal.status if refusal else None) == status
 
@@ -153,7 +153,7 @@
 LAYERS = ["transport", "protocol", "storage", "coordination", "recovery", "archive"]
 
 
-def test_layers_call_only_downwards() -> None:
+def test_modules_import_only_from_their_own_or_lower_layers() -> None:
     for path in (ROOT / "spurarch").rglob("*.py"):
         layer = path.relative_to(ROOT / "spurarch").parts[0]
         if layer not in LAYERS:
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("field", ["cpu = 0.01", "mem_mb = 12.0", "fd_limit = 20"])
-def test_a_machine_that_is_too_small_is_refused_by_its_field(
+def test_limits_of_a_machine_that_is_too_small_are_refused_with_the_name_of_the_field(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], field: str
 ) -> None:
     path = tmp_path / "p.toml"
@@ -234,7 +234,7 @@
     assert error.count("\n") == 1
 
 
-def test_a_machine_that_is_scarce_is_named_and_serves(tmp_path: Path) -> None:
+def test_scarce_limits_of_a_machine_are_accepted_and_listed(tmp_path: Path) -> None:
     path = tmp_path / "p.toml"
     path.write_text(f"{PLATFORM}[deployment.limits]\ncpu = 0.05\nmem_mb = 32.0\nfd_limit = 100\n")
     limits = load_platform(str(path)).deployment.limits
@@ -268,28 +268,28 @@
     assert (tuning.round_s, tuning.moves_per_round) == (20.0, 1)
 
 
-def test_settings_in_force_are_printed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_effective_settings_are_printed(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "p.toml"
     path.write_text(PLATFORM)
     assert cli.main(["settings", "--config", str(path)]) == 0
     assert "round-s" in capsys.readouterr().out
 
 
-def test_a_server_that_ends_frees_its_address() -> None:
-    """A controller that began anew after a recovery could not listen where it had listened before."""
+def test_a_cancelled_server_releases_its_address() -> None:
+    """A controller that restarted after a recovery could not listen on its former address."""
 
     async def handle(request: Request) -> Response:
         return Response(200)
 
     async def main(address: str) -> list[int]:
-        out = []
+        statuses = []
         for _ in range(2):
             server = await curio.spawn(HttpServer(address, handle, 8).run)
             await curio.sleep(0.05)
             async with aclosing(HttpClient(address)) as client:
-                out.append((await client.request("GET", "/x", None, 5.0))[0])
+                statuses.append((await client.request("GET", "/x", None, 5.0))[0])
             await server.cancel()
-        return out
+        return statuses
 
     with ReservedAddresses() as addresses:
         assert curio.run(main, addresses.reserve()) == [200, 200]
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario file, in every variant that it asks for."""
+"""Plays every scenario file in each of its variants, and fails if a rule is broken."""
 
 from __future__ import annotations
 
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -1,4 +1,4 @@
-"""The run of the tests ends the same way in one process and in several: hangs, leaks and warnings fail it."""
+"""Hangs, leaks and warnings must fail the test run, in one process and in several parallel ones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 WARNING = "import warnings\n\ndef test_warning():\n    warnings.warn('old', DeprecationWarning)\n"
 
 
-def test_a_test_that_hangs_ends_the_run_with_its_stack(inner_run: InnerRun) -> None:
+def test_a_test_that_hangs_ends_the_run_and_its_stack_is_printed(inner_run: InnerRun) -> None:
     result = inner_run.play(HANG, "-o", "faulthandler_timeout=0.5", "test_it.py")
     assert result.ret not in (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED)
     assert "Timeout (0:00:00.500000)!" in result.errlines
@@ -28,7 +28,7 @@
     ],
     ids=["socket", "kernel", "warning"],
 )
-def test_what_is_left_unclosed_and_warnings_fail_the_run(inner_run: InnerRun, test: str, message: str) -> None:
+def test_unclosed_resources_and_warnings_fail_the_run(inner_run: InnerRun, test: str, message: str) -> None:
     result = inner_run.play(test)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.stdout.fnmatch_lines([message])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Real controllers in overlapping troubles, for a minute: what is checked does not depend on the machine's speed."""
+"""Real controllers under overlapping faults for a minute; the checks do not depend on the speed of the machine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.sim.soak_plan import SIZES, TROUBLES, make_plan
 
 
-def test_teams_at_their_limits_in_overlapping_troubles(tmp_path: Path) -> None:
+def test_teams_stay_within_their_limits_under_overlapping_faults(tmp_path: Path) -> None:
     result = soak(make_plan(1, "small"), tmp_path)
     assert result.problems == []
     assert result.starts > result.jobs
@@ -28,7 +28,7 @@
     assert (tmp_path / "timeline.jsonl").read_text()
 
 
-def test_the_plan_of_a_seed_is_always_the_same_and_differs_from_others() -> None:
+def test_equal_seeds_give_equal_plans_and_other_seeds_other_plans() -> None:
     assert make_plan(7, "small") == make_plan(7, "small")
     assert make_plan(7, "small") != make_plan(8, "small")
     kinds = {trouble.kind for seed in range(1, 51) for trouble in make_plan(seed, "small").troubles}
@@ -39,12 +39,12 @@
     ("words", "named"),
     [(("--size", "huge"), SIZES), (("--troubles", "rain"), TROUBLES), (("--seeds", "0"), ("from 1 on",))],
 )
-def test_a_soak_that_is_not_known_is_refused_by_a_line_that_names_the_choices(
+def test_an_unknown_soak_option_is_refused_in_one_line_that_lists_the_choices(
     words: tuple[str, ...], named: tuple[str, ...]
 ) -> None:
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "tests.sim.soak", *words], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert done.returncode == 2
-    assert all(name in done.stderr for name in named)
-    assert len(done.stderr.splitlines()) == 1
+    assert result.returncode == 2
+    assert all(name in result.stderr for name in named)
+    assert len(result.stderr.splitlines()) == 1
