--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -16,7 +16,7 @@
 from tests.sim.scenario import Play
 from tests.sim.scenario_text import Scenario
 
-MORE = int(os.environ.get("SPURARCH_MEETINGS", "0"))
+MORE = int(os.environ.get("SPURARCH_MEETINGS", "0"))  # new plays to generate instead of those of the fixed seeds
 QUIET_S = 125.0  # after the last fault, until all jobs have to be final
 BASE = """team t max=60
 team u max=4
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -75,7 +75,10 @@
 
 @pytest.mark.parametrize(("cut", "first"), [(False, 32.0), (True, 44.0)])
 def test_machines_whose_cancelled_tasks_do_not_stop_are_overdue(cut: bool, first: float) -> None:
-    """Well before the limit of 30 s, counted from the cancellation and not from when this controller received it."""
+    """Well before the limit of 30 s, counted from the cancellation and not from when this controller received it.
+
+    The share of the limit is larger if most machines are silent (`cut`), since another owner may stop the tasks.
+    """
     fleet = Fleet(4)
     _stop_cancelled(fleet, 25.0)  # cancelled at 20
     assert not overdue_machines(fleet.partition, WORKERS, first - 0.1, cut)
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -36,6 +36,7 @@
 QUIET_S = 125.0
 
 spans = st.sampled_from([0.5, 1.5, 4.0, 9.0])
+# Faults that delay records or responses, so that a controller works with outdated charges, and all other faults.
 stale = st.one_of(
     st.builds("too-old {} for={}".format, nodes, spans),
     st.builds("no-watch {} for={}".format, nodes, spans),
