--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -90,8 +90,8 @@
         """Writes changes in transactions that guard the records of the partition and of the jobs concerned.
 
         Machines and replicas of services are written first. The rest may wait long for the rate limit, so a background
-        task writes it: otherwise a replica that has to start meanwhile would wait as well (tests/test_mass_starts.py). Ends
-        of array tasks are written along with starts. Deletions wait until no other writes do, but at most
+        task writes it: otherwise a replica that has to start meanwhile would wait as well (tests/test_mass_starts.py).
+        Ends of array tasks are written along with starts. Deletions wait until no other writes do, but at most
         `DELETE_INTERVAL_S`, since an allocation uses its team's quota until it is deleted.
 
         Args:
