--- a/tests/sim/addresses.py
+++ b/tests/sim/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on loopback that tests side by side, in any processes of this machine, never share."""
+"""Reserves loopback addresses, so that tests that run in parallel on one machine never share one."""
 
 from __future__ import annotations
 
@@ -9,52 +9,51 @@
 from types import TracebackType
 from typing import Self
 
-# Below the ports that the system gives to outgoing connections: one of those could take the port of a controller that
-# was killed, before it is back.
+# Below the ephemeral ports, as an outgoing connection could take the port of a killed controller before its restart.
 SERVER_PORTS: Sequence[int] = range(12_000, 32_000)
 HOLDER_NAME = "spurarch-tests-port-"
 
 
 class ReservedAddresses:
-    """Addresses that nobody listens on, and that nobody else reserves until this closes.
+    """Addresses without a listener that no other instance, in any process, can reserve until this one is closed.
 
-    A port can't be held by a socket that is bound to it, as a server is to listen there. It is held by a socket with a
-    name in place of an address: the system gives a name to one process at a time, and frees it when that process ends.
+    A socket bound to the port can't be the reservation, since a server has to listen there. A reservation is a Unix
+    socket with an abstract name instead: only one process can bind a name, and the system frees it when that ends.
     """
 
     def __init__(self) -> None:
-        self._held = ExitStack()
+        self._reservations = ExitStack()
         self._random = Random()
 
     def __enter__(self) -> Self:
-        """Itself."""
+        """Returns this instance."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Gives all addresses back."""
+        """Releases all addresses."""
         self.close()
 
     def close(self) -> None:
-        """Gives all addresses back."""
-        self._held.close()
+        """Releases all addresses."""
+        self._reservations.close()
 
     def reserve(self) -> str:
-        """One more address."""
+        """Reserves and returns one more `host:port`; raises OSError if no port is free."""
         for port in self._random.sample(SERVER_PORTS, len(SERVER_PORTS)):
-            if self._hold(port):
+            if self._try_reserve(port):
                 return f"127.0.0.1:{port}"
         raise OSError(f"no free port from {min(SERVER_PORTS)} to {max(SERVER_PORTS)}")
 
-    def _hold(self, port: int) -> bool:
+    def _try_reserve(self, port: int) -> bool:
         with ExitStack() as attempt:
-            name = attempt.enter_context(socket.socket(socket.AF_UNIX))
+            reservation = attempt.enter_context(socket.socket(socket.AF_UNIX))
             try:
-                name.bind(f"\0{HOLDER_NAME}{port}")
+                reservation.bind(f"\0{HOLDER_NAME}{port}")
                 with socket.socket() as probe:
                     probe.bind(("127.0.0.1", port))
             except OSError:
                 return False
-            self._held.enter_context(attempt.pop_all())
+            self._reservations.enter_context(attempt.pop_all())
         return True
--- a/tests/sim/exchanges.py
+++ b/tests/sim/exchanges.py
@@ -1,4 +1,4 @@
-"""Keeps every request of a play and its answer, as they went over the simulated network."""
+"""Records every request and its response on the simulated network."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """One request, and what was answered."""
+    """A request and its response. `line` is the method and the target."""
 
     source: str
     address: str
@@ -22,12 +22,12 @@
 
 
 def record_exchanges(play: Play) -> list[Exchange]:
-    """The list that every exchange of a play, which has not begun yet, will be added to."""
+    """Returns a list to which all exchanges are added; to be called before the play runs."""
     exchanges: list[Exchange] = []
-    carry = play.wire.request
+    send = play.wire.request
 
     async def record(source: str, address: str, request: Request, timeout_s: float) -> Response:
-        response = await carry(source, address, request, timeout_s)
+        response = await send(source, address, request, timeout_s)
         line = f"{request.method} {request.target}"
         exchanges.append(Exchange(source, address, line, request.body, response.status, response.body))
         return response
@@ -37,6 +37,6 @@
 
 
 def without_chance(raw: bytes) -> bytes:
-    """Names of processes and times of day, which differ between plays, are put as BOOT and MOMENT."""
+    """Replaces process names and times of day, which differ between runs, by BOOT and MOMENT."""
     raw = re.sub(rb"[0-9a-f]{16}", b"BOOT", raw)
     return re.sub(rb'"(at|cancelled_at)":17000[0-9]+\.[0-9]+', rb'"\1":MOMENT', raw)
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the cloud and the workers, written from their published protocols, and a checker of the rules."""
+"""A simulated cloud and workers, written from their published protocols, and checks of the scheduling rules."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tests.sim.clock import Clock
 from tests.sim.gangs import SimGangs
 from tests.sim.net import Wire
-from tests.sim.store import answer
+from tests.sim.store import json_response
 
 
 @dataclass
 class SimTask:
-    """One task on a worker."""
+    """A task on a worker. `why` is the cause of its end; `ends_at` is None if the end of its run is not planned."""
 
     name: str
     attempt: int
@@ -28,35 +28,35 @@
     ready_at: float
     ends_at: float | None
     why: str | None = None
-    gathers_since: float = 0.0
+    gathering_since: float = 0.0
     saved: bool = False
 
 
 @dataclass
-class Kind:
+class MachineType:
     """A machine type."""
 
     name: str
     cpus: float
     memory: float
-    boot: float
-    capacity: int
+    boot_s: float
+    capacity: int  # most machines in a zone
 
 
 @dataclass
 class Rules:
-    """Broken rules as users would count them."""
+    """Violations of the scheduling rules, as seen from outside, and counts of started tasks."""
 
     broken: list[str] = field(default_factory=list)
     started: int = 0
     starts: dict[str, int] = field(default_factory=dict)  # by task
     lost_with_lease: dict[str, int] = field(
         default_factory=dict
-    )  # by task: workers that forgot it as their lease ended
+    )  # by task: workers that lost it when their lease expired
 
 
 class World:
-    """Jobs as users submitted them, machines as they are."""
+    """Submitted jobs, the workers, and the checks of what runs on them."""
 
     def __init__(
         self,
@@ -73,107 +73,107 @@
         self.saved_attempts: dict[str, set[int]] = {}
         self.report_s, self.lease_s, self.cancel_s = report_s, lease_s, cancel_s
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.run_s: dict[str, list[float]] = {}  # by job, of its tasks in turn
+        self.run_s: dict[str, list[float]] = {}  # by job: run times that its tasks take in turn
         self.done: dict[str, set[int]] = {}
         self.cancelled_at: dict[str, float] = {}
         self.limits: dict[str, float] = {}
         self.faulty: set[str] = set()
         self.workers: dict[str, Worker] = {}
         self.rules = Rules()
-        self.began: dict[str, float] = {}  # when a job's first task started
+        self.began: dict[str, float] = {}  # by job: start of its first task
         self.submitted: dict[str, float] = {}
         self.random = Random(1)
         self.late_reports_until, self.late_reports_share, self.late_reports = 0.0, 0.0, 0
-        self.ended: list[str] = []  # jobs of which the last task has just ended
+        self.ended: list[str] = []  # jobs whose last task has ended since the list was last emptied
 
     def worker_address(self, number: int) -> str:
-        """Where the worker of a machine is reached."""
+        """Returns the address of the worker on the machine with this number."""
         return f"10.1.0.{number}:9000"
 
     def is_gang(self, job: str) -> bool:
-        """Its tasks start together."""
+        """Returns whether a job is a gang, whose tasks start together."""
         return bool(self.jobs[job]["gait"] == "gang")
 
     def on_machines(self) -> Iterator[tuple[Worker, SimTask]]:
-        """All tasks that have their image and have not left."""
+        """Yields each task that has its image and has not ended, with its worker."""
         for worker in self.workers.values():
             for task in worker.tasks.values():
                 if worker.up and task.state in ("gathering", "running", "saving"):
                     yield worker, task
 
-    def run_of(self, job: str, index: int) -> float:
-        """How long a task runs."""
+    def run_time_s(self, job: str, index: int) -> float:
+        """Returns the run time of a task in seconds."""
         times = self.run_s[job]
         return times[index % len(times)]
 
-    def break_rule(self, text: str) -> None:
-        """Notes a broken rule."""
+    def record_violation(self, text: str) -> None:
+        """Records a violation with the present time."""
         self.rules.broken.append(f"at {self.clock.now - 1000:.2f}: {text}")
 
     def check_start(self, worker: Worker, task: SimTask) -> None:
-        """The rules at the moment when a task starts."""
+        """Checks the rules that apply when a task starts."""
         self.rules.started += 1
         self.rules.starts[task.name] = self.rules.starts.get(task.name, 0) + 1
         job = task.name.split("/")[0]
         spec = self.jobs[job]
         self.began.setdefault(job, self.clock.now)
         others = [(w, t) for w, t in self.on_machines() if t is not task]
-        for other, held in others:
-            if held.name == task.name and not other.frozen_for_good():
-                self.break_rule(f"ran_twice: {task.name} on {other.name} and {worker.name}")
+        for other, other_task in others:
+            if other_task.name == task.name and not other.hangs_past_lease():
+                self.record_violation(f"ran_twice: {task.name} on {other.name} and {worker.name}")
         if spec["builds"] is not None and worker.kind.name not in spec["builds"]:
-            self.break_rule(f"wrong_place: type of {task.name}")
+            self.record_violation(f"wrong_place: type of {task.name}")
         if spec["district"] not in (None, worker.zone) or (worker.spot and not spec["lendable"]):
-            self.break_rule(f"wrong_place: zone or kind of {task.name}")
+            self.record_violation(f"wrong_place: zone or kind of {task.name}")
         zones = [w.zone for w, t in others if t.name.split("/")[0] == job]
         if spec["together"] and any(z != worker.zone for z in zones):
-            self.break_rule(f"wrong_place: {task.name} is apart from its job")
+            self.record_violation(f"wrong_place: {task.name} is apart from its job")
         if spec["spread"] and zones.count(worker.zone) + 1 > (spec["legs"] + 1) // 2:
-            self.break_rule(f"wrong_place: spread of {task.name}")
+            self.record_violation(f"wrong_place: spread of {task.name}")
         limit = self.limits.get(spec["crew"], 0.0)
         used = spec["vcpus"] + sum(
             self.jobs[t.name.split("/")[0]]["vcpus"]
             for other, t in others
-            if self.jobs[t.name.split("/")[0]]["crew"] == spec["crew"] and not other.frozen_for_good()
+            if self.jobs[t.name.split("/")[0]]["crew"] == spec["crew"] and not other.hangs_past_lease()
         )
         if limit and used > limit + 1e-6:
-            self.break_rule(f"quota: {spec['crew']} uses {used}")
+            self.record_violation(f"quota: {spec['crew']} uses {used}")
         self.check_cancelled(task)
 
     def check_cancelled(self, task: SimTask) -> None:
-        """No task of a job is left `cancel_s` after its user was told."""
-        told = self.cancelled_at.get(task.name.split("/")[0])
-        if told is not None and self.clock.now > told + self.cancel_s:
-            self.break_rule(f"ran_cancelled: {task.name}")
+        """Checks that a task does not run for more than `cancel_s` after the cancellation of its job was confirmed."""
+        confirmed_at = self.cancelled_at.get(task.name.split("/")[0])
+        if confirmed_at is not None and self.clock.now > confirmed_at + self.cancel_s:
+            self.record_violation(f"ran_cancelled: {task.name}")
 
 
 class Worker:
-    """One machine with its worker."""
+    """A machine with its worker."""
 
     def __init__(
-        self, world: World, name: str, kind: Kind, zone: str, spot: bool, nodes: list[tuple[str, str]]
+        self, world: World, name: str, kind: MachineType, zone: str, spot: bool, nodes: list[tuple[str, str]]
     ) -> None:
         self.world, self.name, self.kind, self.zone, self.spot = world, name, kind, zone, spot
         self.addr = world.worker_address(int(name[3:]))
         self.nodes, self.node = nodes, 0
         self.up = True
         self.hang_until = 0.0
-        self.sick = False
-        self.session, self.seq, self.token = 1, 0, 0
-        self.renewed = world.clock.now
+        self.fails_tasks = False
+        self.incarnation, self.seq, self.token = 1, 0, 0
+        self.lease_renewed_at = world.clock.now
         self.tasks: dict[str, SimTask] = {}
         self.images: set[str] = set()
         self.notice_until: float | None = None
-        self.news = False
-        self.sent: list[tuple[str, bytes]] = []  # (address, body) of all reports, for late copies
+        self.changed = False  # whether there is a change to report at once
+        self.sent_heartbeats: list[tuple[str, bytes]] = []  # (address, body) of all heartbeats, for copies of them
         world.wire.hosts[self.addr] = name
         world.wire.handlers[self.addr] = self.serve
 
-    def report(self) -> dict[str, Any]:
-        """What the worker says of itself."""
+    def heartbeat(self) -> dict[str, Any]:
+        """Returns the worker's state as a heartbeat message with the next sequence number."""
         self.seq += 1
         now = self.world.clock.now
-        legs = [
+        statuses = [
             {
                 "leg": t.name,
                 "try": t.attempt,
@@ -190,35 +190,35 @@
             "build": self.kind.name,
             "district": self.zone,
             "lendable": self.spot,
-            "tenure": self.session,
+            "tenure": self.incarnation,
             "tally": self.seq,
             "baton": self.token,
             "warning_s": warning,
-            "legs": legs,
+            "legs": statuses,
         }
 
     async def serve(self, request: Request) -> Response:
-        """The worker's own address."""
+        """Handles a request to the worker: a status request or direct commands."""
         while self.world.clock.now < self.hang_until:
             await curio.sleep(0.1)
         self.step()
         if not self.up:
             await curio.sleep(60)
         if request.target == "/status":
-            return answer(200, self.report())
+            return json_response(200, self.heartbeat())
         body = json.loads(request.body)
-        if body["baton"] < self.token or body["tenure"] != self.session:
-            return answer(409, self.report())
-        self._see(body["baton"])
+        if body["baton"] < self.token or body["tenure"] != self.incarnation:
+            return json_response(409, self.heartbeat())
+        self._raise_token(body["baton"])
         self.execute(body["orders"])
-        return answer(200, self.report())
+        return json_response(200, self.heartbeat())
 
-    def _see(self, token: int) -> None:
+    def _raise_token(self, token: int) -> None:
         if token > self.token:
-            self.token, self.news = token, True
+            self.token, self.changed = token, True
 
     def execute(self, orders: list[dict[str, Any]]) -> None:
-        """Carries out commands in order."""
+        """Executes commands in order."""
         for order in orders:
             name, attempt = order["leg"], order["try"]
             held = self.tasks.get(name)
@@ -227,16 +227,16 @@
                     self._start(name, attempt)
             elif order["verb"] == "halt" and held is not None and held.attempt == attempt and held.state != "ended":
                 if self.world.jobs.get(name.split("/")[0], {}).get("gait") == "gang":
-                    self.world.gangs.halt(held, float(order.get("leeway_s") or 0.0))
-                    self.news = True
+                    self.world.gangs.stop(held, float(order.get("leeway_s") or 0.0))
+                    self.changed = True
                     continue
-                held.state, held.why, self.news = "ended", "halted", True
+                held.state, held.why, self.changed = "ended", "halted", True
             elif order["verb"] == "forget" and held is not None and held.attempt == attempt and held.state == "ended":
                 del self.tasks[name]
 
     def _start(self, name: str, attempt: int) -> None:
         now, job = self.world.clock.now, name.split("/")[0]
-        self.news = True
+        self.changed = True
         spec = self.world.jobs.get(job)
         task = SimTask(name, attempt, "fetching", now, None)
         self.tasks[name] = task
@@ -253,34 +253,35 @@
             return
         task.ready_at = now + (0.0 if spec["kit"] in self.images else spec["pull_gb"])
 
-    def frozen_for_good(self) -> bool:
-        """It hangs past its lease: its tasks don't execute, and when it goes on it kills them before anything else.
+    def hangs_past_lease(self) -> bool:
+        """Returns whether the machine hangs past its lease.
 
-        A resumption within its lease, and a cancelled task on it, count all the same (docs/questions.md, 10).
+        Its tasks don't execute then, and when it resumes, it ends them before anything else.
+        Cancelled tasks, and tasks on a machine that resumes within its lease, do count (docs/questions.md, 10).
         """
         now = self.world.clock.now
-        return now < self.hang_until and now - self.renewed > self.world.lease_s
+        return now < self.hang_until and now - self.lease_renewed_at > self.world.lease_s
 
     def step(self) -> None:
-        """What time does to the worker."""
+        """Applies what has become due: the end of the lease, of fetches and of tasks."""
         now = self.world.clock.now
         if not self.up or now < self.hang_until:
             return
-        if now - self.renewed > self.world.lease_s:
+        if now - self.lease_renewed_at > self.world.lease_s:
             lost = self.world.rules.lost_with_lease
             for task in self.tasks.values():
                 lost[task.name] = lost.get(task.name, 0) + 1
             self.tasks.clear()
-            self.session += 1
-            self.renewed, self.news = now, True
+            self.incarnation += 1
+            self.lease_renewed_at, self.changed = now, True
         for task in self.tasks.values():
             job, index = task.name.split("/")
             if task.state == "fetching" and now >= task.ready_at:
                 self.images.add(self.world.jobs[job]["kit"])
-                if self.sick or job in self.world.faulty:
-                    task.state, task.why, self.news = "ended", "error", True
+                if self.fails_tasks or job in self.world.faulty:
+                    task.state, task.why, self.changed = "ended", "error", True
                     continue
-                self.news = True
+                self.changed = True
                 if self.world.is_gang(job):
                     self.world.gangs.gather(self, task)
                     self.world.check_start(self, task)
@@ -289,7 +290,7 @@
                 self.world.check_start(self, task)
                 finished = int(index) in self.world.done.setdefault(job, set())
                 if self.world.jobs[job]["gait"] != "daemon":
-                    task.ends_at = now if finished else now + self.world.run_of(job, int(index))
+                    task.ends_at = now if finished else now + self.world.run_time_s(job, int(index))
             if task.state in ("gathering", "running") and self.world.is_gang(job):
                 self.world.check_cancelled(task)
                 self.world.gangs.step(self, task)
@@ -298,11 +299,11 @@
             elif task.state == "running":
                 self.world.check_cancelled(task)
                 if task.ends_at is not None and now >= task.ends_at:
-                    task.state, task.why, self.news = "ended", "done", True
+                    task.state, task.why, self.changed = "ended", "done", True
                     self._complete(job, int(index))
 
     def _complete(self, job: str, index: int) -> None:
-        """A task has done its work; those of a gang complete together."""
+        """Marks a task as done, or all tasks of a gang."""
         done, size = self.world.done.setdefault(job, set()), self.world.jobs[job]["legs"]
         ready = set(range(size)) if self.world.is_gang(job) else {index}
         if len(done) < size == len(done | ready):
@@ -310,7 +311,7 @@
         done |= ready
 
     async def run(self) -> None:
-        """Reports until the machine is gone."""
+        """Sends heartbeats until the machine is gone."""
         clock = self.world.clock
         last = -1e9
         while self.up:
@@ -318,18 +319,18 @@
             if clock.now < self.hang_until:
                 continue
             self.step()
-            due = clock.now - last >= self.world.report_s or (self.news and clock.now - last >= 0.5)
+            due = clock.now - last >= self.world.report_s or (self.changed and clock.now - last >= 0.5)
             if due and self.up:
-                last, self.news = clock.now, False
-                await self._beat()
+                last, self.changed = clock.now, False
+                await self._send_heartbeat()
 
-    async def _beat(self) -> None:
-        sent, session = self.world.clock.now, self.session
+    async def _send_heartbeat(self) -> None:
+        sent_at, incarnation = self.world.clock.now, self.incarnation
         name, address = self.nodes[self.node]
-        body = json.dumps(self.report()).encode()
-        self.sent.append((address, body))
-        if sent < self.world.late_reports_until and self.world.random.random() < self.world.late_reports_share:
-            await curio.spawn(self._copy_late, address, body, daemon=True)
+        body = json.dumps(self.heartbeat()).encode()
+        self.sent_heartbeats.append((address, body))
+        if sent_at < self.world.late_reports_until and self.world.random.random() < self.world.late_reports_share:
+            await curio.spawn(self._deliver_late_copy, address, body, daemon=True)
         try:
             response = await self.world.wire.request(self.name, address, Request("POST", "/agent/beat", body), 4.0)
         except NoAnswerError:
@@ -350,14 +351,14 @@
             await self._next_node()
         else:
             answered = json.loads(response.body)
-            if answered["baton"] < self.token or session != self.session:
+            if answered["baton"] < self.token or incarnation != self.incarnation:
                 return
-            self._see(answered["baton"])
-            self.renewed = max(self.renewed, sent)
+            self._raise_token(answered["baton"])
+            self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
             self.execute(answered["orders"])
 
-    async def _copy_late(self, address: str, body: bytes) -> None:
-        """A copy of a report arrives from 2 s to well over a lease later."""
+    async def _deliver_late_copy(self, address: str, body: bytes) -> None:
+        """Delivers a copy of a heartbeat 2 s to 2 s and 1.5 leases later."""
         await curio.sleep(2.0 + 1.5 * self.world.lease_s * self.world.random.random())
         handler = self.world.wire.handlers.get(address)
         if handler is not None:
@@ -368,41 +369,41 @@
         self.node = (self.node + 1) % len(self.nodes)
         await curio.sleep(1.0)
 
-    async def copies(self, since: float, gap_s: float, address: str | None) -> None:
-        """The network delivers copies of earlier reports once more, in the order in which they were sent."""
-        for target, body in list(self.sent)[int(since) :]:
+    async def deliver_copies(self, since: float, gap_s: float, address: str | None) -> None:
+        """Delivers copies of earlier heartbeats in their order, to `address` or to their original receivers."""
+        for target, body in list(self.sent_heartbeats)[int(since) :]:
             handler = self.world.wire.handlers.get(address or target)
             if handler is not None:
                 await handler(Request("POST", "/agent/beat", body))
             await curio.sleep(gap_s)
 
     def reboot(self) -> None:
-        """Back at once in a new session, with nothing on it."""
+        """Restarts the worker at once in a new incarnation, without tasks."""
         self.tasks.clear()
-        self.session += 1
-        self.renewed, self.news = self.world.clock.now, True
+        self.incarnation += 1
+        self.lease_renewed_at, self.changed = self.world.clock.now, True
 
     def die(self) -> None:
-        """The machine is gone with all that was on it."""
+        """Removes the machine with all its tasks."""
         self.up = False
         self.tasks.clear()
         self.world.wire.handlers.pop(self.addr, None)
 
 
 class FakeCloud:
-    """Rents and returns machines."""
+    """A simulated cloud that rents, lists and releases machines."""
 
     def __init__(self, world: World, zones: list[str], nodes: list[tuple[str, str]], lag_s: float) -> None:
         self.world, self.zones, self.nodes, self.lag_s = world, zones, nodes, lag_s
-        self.kinds: dict[str, Kind] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.kinds: dict[str, MachineType] = {}
+        self.rentals: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
         self.never_up = 0
         self.calls: list[float] = []
         self._next = 1
 
-    def add(self, kind: Kind, zone: str, spot: bool, boot: float) -> str:
-        """A new machine."""
+    def add(self, kind: MachineType, zone: str, spot: bool, boot: float) -> str:
+        """Adds a machine that becomes ready after `boot` seconds, and returns its name."""
         name = f"vm-{self._next:06d}"
         self._next += 1
         at = self.world.clock.now
@@ -413,7 +414,7 @@
         return name
 
     async def run(self) -> None:
-        """Brings machines up."""
+        """Starts the workers of machines that become ready."""
         while True:
             for name, m in self.machines.items():
                 if not m["gone"] and name not in self.world.workers and self.world.clock.now >= m["up_at"]:
@@ -423,10 +424,10 @@
             await curio.sleep(0.1)
 
     async def handle(self, request: Request) -> Response:
-        """The cloud's API."""
+        """Handles a request to the API."""
         url = urlsplit(request.target)
         if url.path == "/machine_types":
-            return answer(
+            return json_response(
                 200,
                 {
                     "builds": [
@@ -439,7 +440,7 @@
                             "fetch_gb_per_s": 1.0,
                             "hourly": k.cpus / 10,
                             "spot_price": k.cpus / 30,
-                            "boot_s": k.boot,
+                            "boot_s": k.boot_s,
                             "districts": self.zones,
                         }
                         for k in self.kinds.values()
@@ -453,31 +454,31 @@
                     self.machines[name].setdefault("gone_at", self.world.clock.now)
                 if name in self.world.workers:
                     self.world.workers[name].die()
-            return answer(200, {})
+            return json_response(200, {})
         if request.method == "POST":
             return self._rent(json.loads(request.body))
         return self._list({k: v[0] for k, v in parse_qs(url.query).items()})
 
     def _rent(self, body: dict[str, Any]) -> Response:
-        if body["hire"] in self.hires:
-            return answer(200, {"crofts": self.hires[body["hire"]]})
+        if body["hire"] in self.rentals:
+            return json_response(200, {"crofts": self.rentals[body["hire"]]})
         kind = self.kinds[body["build"]]
-        held = sum(
+        rented = sum(
             m["kind"] is kind and m["zone"] == body["district"] and not m["gone"] for m in self.machines.values()
         )
-        count = min(body["how_many"], kind.capacity - held)
+        count = min(body["how_many"], kind.capacity - rented)
         if count <= 0:
-            return answer(503, {"error": "no capacity"})
-        names = [self.add(kind, body["district"], body["lendable"], kind.boot) for _ in range(count)]
-        self.hires[body["hire"]] = names
-        return answer(200, {"crofts": names})
+            return json_response(503, {"error": "no capacity"})
+        names = [self.add(kind, body["district"], body["lendable"], kind.boot_s) for _ in range(count)]
+        self.rentals[body["hire"]] = names
+        return json_response(200, {"crofts": names})
 
     def _list(self, query: dict[str, str]) -> Response:
-        then = self.world.clock.now - self.lag_s
+        listed_at = self.world.clock.now - self.lag_s
         out = []
         for name, m in sorted(self.machines.items()):
             worker = self.world.workers.get(name)
-            if name <= query.get("from", "") or m["at"] > then or m["gone"]:
+            if name <= query.get("from", "") or m["at"] > listed_at or m["gone"]:
                 continue
             state = "booting" if worker is None else "running" if worker.up else "failed"
             out.append(
@@ -488,7 +489,7 @@
                     "district": m["zone"],
                     "lendable": m["spot"],
                     "standing": state,
-                    "held_s": then - m["at"],
+                    "held_s": listed_at - m["at"],
                 }
             )
-        return answer(200, {"crofts": out, "has_next": False})
+        return json_response(200, {"crofts": out, "has_next": False})
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -26,7 +26,7 @@
 from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog
 from tests.sim.addresses import ReservedAddresses
 from tests.sim.clock import Clock
-from tests.sim.fleet import FakeCloud, Kind, SimTask, Worker, World
+from tests.sim.fleet import FakeCloud, MachineType, SimTask, Worker, World
 from tests.sim.store import FakeStore
 
 ROOT = Path(__file__).parent.parent.parent
@@ -230,7 +230,7 @@
         self.world = LoggingWorld(self.log, self.clock, self.wire, s.report_s, s.lease_s, s.cancel_s)
         self.world.limits = dict(s.teams)
         self.cloud = FakeCloud(self.world, ["a", "b"], self.nodes, 0.2)
-        kind = Kind("small", 4.0, 16.0, 0.5, s.capacity)
+        kind = MachineType("small", 4.0, 16.0, 0.5, s.capacity)
         self.cloud.kinds = {"small": kind}
         for number in range(s.machines):
             self.cloud.add(kind, "ab"[number % 2], False, 0.0)
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -205,7 +205,7 @@
     if kind == "waits for nothing":
         played.tuning.archive_timeout_s = 1e-6
     played.run()
-    reports = [body for worker in played.world.workers.values() for _, body in worker.sent]
+    reports = [body for worker in played.world.workers.values() for _, body in worker.sent_heartbeats]
     published = sum(event.get("write") == ARCHIVED for _, event in played.store.events)
     return {
         "recovery": kind,
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -1,4 +1,4 @@
-"""A simulated network between hosts: delays, cuts that hold or drop, lost answers."""
+"""A simulated network between hosts: latency, and faults that hold or drop requests or responses."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 @dataclass
-class Cut:
-    """Hosts that can't reach each other for a while.
+class LinkFault:
+    """A fault between two hosts until a given time; `*` stands for any host.
 
-    `hold` delivers late what was sent meanwhile; with `deaf`, what `a` sends arrives, but neither answers nor what
-    others send reach it; with `mute`, `a` reaches nobody, though others reach it.
+    Modes: `drop` drops requests in both directions; `hold` delivers them when the fault ends; with `deaf`, requests of
+    `a` arrive, but responses and requests to it are dropped; with `mute`, requests of `a` are dropped, while requests
+    to it and their responses arrive.
     """
 
     a: str
@@ -30,45 +31,45 @@
 
 
 class Wire:
-    """All connections between hosts."""
+    """All links between hosts."""
 
     def __init__(self, clock: Clock, random: Random) -> None:
         self.clock, self.random = clock, random
         self.hosts: dict[str, str] = {}  # address -> host
         self.handlers: dict[str, Handler] = {}  # address -> server
-        self.back: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}
-        self.cuts: list[Cut] = []
-        self.doors: dict[str, Callable[[str], Handler]] = {}
+        self.back_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}  # address -> server of peer frames
+        self.link_faults: list[LinkFault] = []
+        self.doors: dict[str, Callable[[str], Handler]] = {}  # address -> function from client host to server
         self.slow_until, self.slow_s = 0.0, 0.0
 
     def latency_s(self) -> float:
-        """The way from one host to another, about."""
+        """Returns the mean latency of a request, in seconds."""
         return self.slow_s if self.clock.now < self.slow_until else LATENCY_S
 
-    def cut(self, a: str, b: str) -> Cut | None:
-        """The cut in the way of a request of `a` to `b`, if there is one now."""
-        for cut in self.cuts:
-            pair = {cut.a, cut.b}
-            if cut.mode == "mute" and a != cut.a:
+    def active_fault(self, a: str, b: str) -> LinkFault | None:
+        """Returns the active fault that affects a request from `a` to `b`, or None."""
+        for fault in self.link_faults:
+            pair = {fault.a, fault.b}
+            if fault.mode == "mute" and a != fault.a:
                 continue
-            if self.clock.now < cut.until and ({a, b} == pair or ("*" in pair and ({a, b} & (pair - {"*"})))):
-                return cut
+            if self.clock.now < fault.until and ({a, b} == pair or ("*" in pair and ({a, b} & (pair - {"*"})))):
+                return fault
         return None
 
     async def request(self, source: str, address: str, request: Request, timeout_s: float) -> Response:
-        """One request, with all that can become of it."""
+        """Delivers one request and returns its response; raises NoAnswerError if there is none in time."""
         target = self.hosts[address]
         end = self.clock.now + timeout_s
-        cut = self.cut(source, target)
-        if cut is not None and cut.mode == "deaf" and source == cut.a:
+        fault = self.active_fault(source, target)
+        if fault is not None and fault.mode == "deaf" and source == fault.a:
             handler = self.handler(source, address)
             if handler is not None:
                 await curio.spawn(handler, request, daemon=True)
-        if cut is not None:
-            if cut.mode == "hold":
-                await curio.spawn(self._late, cut, source, address, request, daemon=True)
+        if fault is not None:
+            if fault.mode == "hold":
+                await curio.spawn(self._deliver_late, fault, source, address, request, daemon=True)
             await curio.sleep(max(0.0, end - self.clock.now))
-            raise NoAnswerError("cut", cut.mode != "drop")
+            raise NoAnswerError("cut", fault.mode != "drop")
         await curio.sleep(self.latency_s() * (0.5 + self.random.random()))
         handler = self.handler(source, address)
         if handler is None:
@@ -79,41 +80,41 @@
             raise NoAnswerError("timed out", True) from None
         if self.handlers.get(address) is not handler and address not in self.doors:
             raise NoAnswerError("reset", True)  # the server ended meanwhile
-        if self.cut(source, target) is not None:
+        if self.active_fault(source, target) is not None:
             await curio.sleep(max(0.0, end - self.clock.now))
             raise NoAnswerError("cut", True)
         return response
 
     def handler(self, source: str, address: str) -> Handler | None:
-        """The server behind an address; some answer each host through a door of its own."""
-        door = self.doors.get(address)
-        return door(source) if door is not None else self.handlers.get(address)
+        """Returns the server at an address, or None; some servers have a handler for each client host."""
+        handler_for = self.doors.get(address)
+        return handler_for(source) if handler_for is not None else self.handlers.get(address)
 
-    async def _late(self, cut: Cut, source: str, address: str, request: Request) -> None:
-        await curio.sleep(max(0.0, cut.until - self.clock.now) + 0.01)
+    async def _deliver_late(self, fault: LinkFault, source: str, address: str, request: Request) -> None:
+        await curio.sleep(max(0.0, fault.until - self.clock.now) + 0.01)
         handler = self.handler(source, address)
         if handler is not None:
             await handler(request)
 
 
 class SimClient:
-    """A client of one address on one host."""
+    """A client on one host of the server at one address."""
 
     def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
         self._network, self._wire, self._source, self._address = network, wire, source, address
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
-        """Like HttpClient.request."""
-        await self._network.living()
+        """Sends a request, like HttpClient.request."""
+        await self._network.block_if_ended()
         response = await self._wire.request(
             self._source, self._address, Request(method, target, body or b""), timeout_s
         )
-        await self._network.living()
+        await self._network.block_if_ended()
         return response.status, response.body
 
 
 class SimServer:
-    """A server that lives as long as its task."""
+    """A server that is reachable while run() is running."""
 
     def __init__(self, table: dict[str, Callable[..., Awaitable[object]]], address: str, handler: object) -> None:
         self._table, self._address, self._handler = table, address, handler
@@ -129,18 +130,18 @@
                 del self._table[self._address]
 
 
-class SimBack:
-    """A client of a peer's back channel."""
+class SimBackClient:
+    """A client of a peer's frame server."""
 
     def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
         self._network, self._wire, self._source, self._address = network, wire, source, address
 
     async def call(self, frame: bytes, timeout_s: float) -> bytes | None:
-        """Like FrameClient.call."""
-        await self._network.living()
+        """Sends a frame, like FrameClient.call; returns None if there is no response."""
+        await self._network.block_if_ended()
         wire = self._wire
-        handler = wire.back.get(self._address)
-        if handler is None or wire.cut(self._source, wire.hosts[self._address]) is not None:
+        handler = wire.back_handlers.get(self._address)
+        if handler is None or wire.active_fault(self._source, wire.hosts[self._address]) is not None:
             return None
         await curio.sleep(wire.latency_s())
         try:
@@ -150,14 +151,14 @@
 
 
 class SimNetwork(Network):
-    """The doors of one host to the simulated network."""
+    """The simulated network as one host reaches it."""
 
     def __init__(self, wire: Wire, host: str) -> None:
         self._wire, self._host = wire, host
         self.ended = False
 
-    async def living(self) -> None:
-        """Holds whatever a process still has under way when it ends: tasks of its own that curio goes on running."""
+    async def block_if_ended(self) -> None:
+        """Blocks forever once the host's process has ended, as curio goes on running the tasks that it spawned."""
         while self.ended:
             await curio.sleep(1e6)
 
@@ -167,8 +168,8 @@
     def server(self, address: str, handler: Handler, max_connections: int) -> SimServer:
         return SimServer(self._wire.handlers, address, handler)  # type: ignore[arg-type]
 
-    def back_client(self, address: str) -> SimBack:
-        return SimBack(self, self._wire, self._host, address)
+    def back_client(self, address: str) -> SimBackClient:
+        return SimBackClient(self, self._wire, self._host, address)
 
     def back_server(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> SimServer:
-        return SimServer(self._wire.back, address, handler)  # type: ignore[arg-type]
+        return SimServer(self._wire.back_handlers, address, handler)  # type: ignore[arg-type]
--- a/tests/sim/planted.py
+++ b/tests/sim/planted.py
@@ -1,4 +1,4 @@
-"""Runs a controller with a planted fault, to show that the soak finds it: `python planted.py FAULT serve ...`."""
+"""Runs a controller with a planted fault, which the soak must detect: `python planted.py FAULT serve ...`."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from spurarch.coordination.partition.stopping import StopRequests
 
 
-def leave_limit_out() -> None:
-    """Admits whatever is asked for."""
+def ignore_team_limits() -> None:
+    """Makes admission ignore the limits of teams."""
 
     def tasks_allowed(_ledger: QuotaLedger, _team: int, _each: Any, most: int, _beside: Any = None) -> int:
         return most
@@ -23,18 +23,18 @@
     QuotaLedger.tasks_allowed = tasks_allowed  # type: ignore[assignment, method-assign]
 
 
-def drop_charge_early() -> None:
-    """Takes a task that is told to stop for one that has left."""
-    stop_one = StopRequests._request_one
+def release_charge_early() -> None:
+    """Makes the ledger drop the charge of a task when its stop is requested, before it has ended."""
+    request_one = StopRequests._request_one
 
-    def stop_and_drop(stops: StopRequests, attempt: Any, grace_s: float) -> None:
-        stop_one(stops, attempt, grace_s)
+    def stop_and_release(stops: StopRequests, attempt: Any, grace_s: float) -> None:
+        request_one(stops, attempt, grace_s)
         stops._state.transition(attempt, AttemptPhase.GONE)
 
-    StopRequests._request_one = stop_and_drop  # type: ignore[assignment, method-assign]
+    StopRequests._request_one = stop_and_release  # type: ignore[assignment, method-assign]
 
 
-FAULTS = {"limit-left-out": leave_limit_out, "charge-dropped-early": drop_charge_early}
+FAULTS = {"limit-left-out": ignore_team_limits, "charge-dropped-early": release_charge_early}
 
 if __name__ == "__main__":
     FAULTS[sys.argv[1]]()
--- a/tests/sim/random_days.py
+++ b/tests/sim/random_days.py
@@ -1,4 +1,4 @@
-"""Plays random days of a scenario: the same few in every run of the tests, or as many new ones as are asked for."""
+"""Plays randomly drawn scenarios ("days"): a few fixed ones in every test run, or a number of new ones on request."""
 
 from __future__ import annotations
 
@@ -11,12 +11,15 @@
 
 
 def last_trouble(scenario: Scenario) -> float:
-    """When the last thing that happens on a day is over."""
+    """Returns when the last action of a scenario, with its duration, is over, in seconds."""
     return max(at + float(options(words).get("for", 0)) for at, words in scenario.actions)
 
 
 def play_days(days: st.SearchStrategy[str], play: Callable[[str], list[str]], part: int, few: int, more: int) -> None:
-    """Plays a part of the days, and fails with the text of one on which something broke; `more` are new ones."""
+    """Plays days and fails with the text of one that has problems.
+
+    Plays the `few` days of the seed `part`, or `more` new ones, shrunk when one fails, if `more` is not 0.
+    """
 
     @settings(
         max_examples=more or few,
--- a/tests/sim/recovery.py
+++ b/tests/sim/recovery.py
@@ -1,4 +1,30 @@
-"""Scenarios in which the state service loses data: controllers with recovery, an archiver, and losses."""
+"""Plays scenarios in which the state service loses data: controllers with recovery, and an archiver.
+
+Setup words beside those of scenario.py:
+
+    archive off              there is no archiver
+    answers archived         users get answers only once they are archived
+    without NODE...          controllers of a version without recovery
+
+Actions beside those of scenario.py:
+
+    wipe                     all data is lost
+    save NAME                keeps a copy of the data
+    restore NAME             the data goes back to that copy
+    lose PREFIX              the keys with this prefix are lost, without a new revision or a watch event
+    repeat-all               all transactions so far are carried out again, without the check in scenario.py
+    settle JOB STATE         an operator resolves the outcome of a job
+    stop-archiver            the archiver's process is killed
+    start-archiver           the archiver starts, on the directory that it left
+
+Expectations beside those of scenario_checks.py:
+
+    recovered N              N restarts of controllers in the same process, to join another history
+    answered STATUS          a submission got this status code
+    began JOB N              N starts of all tasks of the job together
+    on-record JOB STATE      final state of the job in the current history, or `none`
+    never-told JOB STATE     no answer to the job's user was this state
+"""
 
 from __future__ import annotations
 
@@ -16,7 +42,7 @@
 from spurarch.storage import records
 from spurarch.storage.history import HISTORY
 from spurarch.storage.store import Store
-from tests.sim.fleet import Kind
+from tests.sim.fleet import MachineType
 from tests.sim.net import SimNetwork
 from tests.sim.scenario import STATE, Play
 from tests.sim.scenario_text import Scenario
@@ -25,66 +51,62 @@
 
 
 class RecoveryPlay(Play):
-    """A play whose controllers have recovery.
-
-    Three lines more may stand in a scenario: `archive off`, `answers archived`, and `without NODE...` for controllers
-    of a version without it.
-    """
+    """A run of a scenario whose controllers have recovery."""
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
-        self._archive, self._without, self._archived_answers = True, set[str](), False
+        self._has_archiver, self._without_recovery, self._answers_archived = True, set[str](), False
         super().__init__(scenario, seed)
         self.tuning.recovery = True
-        self.tuning.archive_address = ARCHIVE if self._archive else ""
+        self.tuning.archive_address = ARCHIVE if self._has_archiver else ""
         self.wire.hosts[ARCHIVE] = "archive"
         self.saved: dict[str, tuple[int, dict[str, Any]]] = {}
         self.archiver: Any = None
         self.archive_network: SimNetwork | None = None
         self.root: Path | None = None
-        self._anew: set[str] = set()  # controllers that begin anew in the same process, at this moment
-        self.recovered: list[str] = []  # controllers that began anew, in order
+        self._restarting: set[str] = set()  # controllers that are being restarted in the same process
+        self.recovered: list[str] = []  # controllers that were restarted in the same process, in order
 
-    def _set_up(self, words: list[str], kinds: list[Kind], machines: list[list[str]]) -> None:
+    def _set_up(self, words: list[str], kinds: list[MachineType], machines: list[list[str]]) -> None:
         if words[0] == "archive":
-            self._archive = words[1] != "off"
+            self._has_archiver = words[1] != "off"
         elif words[0] == "answers":
-            self._archived_answers = words[1] == "archived"
+            self._answers_archived = words[1] == "archived"
         elif words[0] == "without":
-            self._without.update(words[1:])
+            self._without_recovery.update(words[1:])
         else:
             super()._set_up(words, kinds, machines)
 
     def controller(self, node: str, network: SimNetwork, boot: str, version: int) -> Controller:
-        """With recovery, unless it is of a version that has none."""
-        if node in self._without:
+        """Creates a controller, with recovery unless `without` names it."""
+        if node in self._without_recovery:
             return super().controller(node, network, boot, version)
-        before = self.controllers.get(node) if node in self._anew else None
-        return controller_with_recovery(self.platform(int(node[1:])), self.tuning, network, boot, before)
+        previous = self.controllers.get(node) if node in self._restarting else None
+        return controller_with_recovery(self.platform(int(node[1:])), self.tuning, network, boot, previous)
 
     def recovery(self, node: str) -> RecoveryService:
-        """The recovery of a controller."""
+        """Returns the recovery service of a controller."""
         service = self.controllers[node]._recovery
         assert isinstance(service, RecoveryService)
         return service
 
     async def start(self, node: str) -> None:
-        """Starts a controller, and once more whenever it ends to begin anew."""
+        """Starts a controller, and restarts it whenever its run() ends by itself."""
         await super().start(node)
-        if node not in self._without:
-            await curio.spawn(self._begin_anew, node, self.running[node], daemon=True)
+        if node not in self._without_recovery:
+            await curio.spawn(self._restart_when_ended, node, self.running[node], daemon=True)
 
-    async def _begin_anew(self, node: str, task: Any) -> None:
-        """What the command line does when a controller's `run` ends."""
+    async def _restart_when_ended(self, node: str, task: Any) -> None:
+        """Restarts a controller in the same process when its run() ends by itself, as the command line does."""
         await task.wait()
         if self.running.get(node) is task and not task.cancelled and not task.exception:
             self.recovered.append(node)
             await self.kill(node)
-            self._anew.add(node)
+            self._restarting.add(node)
             await self.start(node)
-            self._anew.discard(node)
+            self._restarting.discard(node)
 
     def run(self) -> None:
-        """Plays to the end, with a disk for the archive."""
+        """Plays the scenario to its end, with a temporary directory for the archive."""
         with tempfile.TemporaryDirectory() as directory:
             self.root = Path(directory)
             super().run()
@@ -92,14 +114,14 @@
     async def _main(self) -> None:
         network = SimNetwork(self.wire, "operator")
         store = Store(network.client(STATE, 1), self.platform(0).deployment.state, 1)
-        await declare_first_history(store, False, self._archived_answers)
-        if self._archive:
+        await declare_first_history(store, False, self._answers_archived)
+        if self._has_archiver:
             await self.start_archiver()
         await super()._main()
-        self.running.clear()  # what ends from here on does not begin anew
+        self.running.clear()  # controllers that end from here on are not restarted
 
     async def start_archiver(self) -> None:
-        """Starts the archiver, on the disk that it left."""
+        """Starts the archiver on its directory, as the previous process left it."""
         assert self.root is not None
         self.archive_network = SimNetwork(self.wire, "archive")
         self.archiver = await curio.spawn(
@@ -107,7 +129,7 @@
         )
 
     async def stop_archiver(self) -> None:
-        """Ends the archiver without a word."""
+        """Ends the archiver without any cleanup."""
         assert self.archive_network is not None
         self.archive_network.ended = True
         self.wire.handlers.pop(ARCHIVE, None)
@@ -115,19 +137,19 @@
 
     async def _act(self, words: list[str]) -> None:
         action, args = words[0], words[1:]
-        self.trouble_until = max(self.trouble_until, self.clock.now)
+        self.faults_end_at = max(self.faults_end_at, self.clock.now)
         if action == "wipe":
             self.store.wipe()
-        elif action == "save":  # save NAME: the data as it is now
+        elif action == "save":
             self.saved[args[0]] = self.store.revision, dict(self.store.keys)
-        elif action == "restore":  # restore NAME: the data goes back to that
+        elif action == "restore":
             self.store.go_back_to(*self.saved[args[0]])
-        elif action == "lose":  # lose PREFIX: only these keys are lost, and nothing says so
+        elif action == "lose":
             for key in [key for key in self.store.keys if key.startswith(args[0])]:
                 del self.store.keys[key]
-        elif action == "repeat-all":  # every transaction so far arrives once more
+        elif action == "repeat-all":
             self.store.repeat_all(HISTORY)
-        elif action == "settle":  # settle JOB STATE, as an operator
+        elif action == "settle":
             network = SimNetwork(self.wire, "operator")
             store = Store(network.client(STATE, 1), self.platform(0).deployment.state, 1)
             await resolve_job(store, args[0], args[1])
@@ -139,27 +161,27 @@
             await super()._act(words)
 
     async def _watch_records(self) -> None:
-        """The check of the base class reads the first history's keys, which stay as they were after a loss."""
+        """Checks nothing: the base class reads the keys of the first history, which don't change after a loss."""
         while True:
             await curio.sleep(3600)
 
-    def _holds(self, words: list[str]) -> bool:
+    def _expectation_holds(self, words: list[str]) -> bool:
         kind, args = words[0], words[1:]
-        if kind == "recovered":  # so many controllers began anew
+        if kind == "recovered":
             return len(self.recovered) == int(args[0])
-        if kind == "answered":  # some user got that status
+        if kind == "answered":
             return int(args[0]) in self.answers
-        if kind == "began":  # began JOB COUNT: starts of all its tasks together
+        if kind == "began":
             starts = self.world.rules.starts
             return sum(n for task, n in starts.items() if task.startswith(args[0] + "/")) == int(args[1])
-        if kind == "on-record":  # on-record JOB STATE: in the newest history
+        if kind == "on-record":
             return self.final(args[0]) == " ".join(args[1:])
-        if kind == "never-told":  # never-told JOB STATE
+        if kind == "never-told":
             return args[1] not in self.told.get(args[0], [])
-        return super()._holds(words)
+        return super()._expectation_holds(words)
 
     def final(self, job: str) -> str:
-        """The final standing of a job in the history that is in force."""
+        """Returns the final state of a job in the current history, or "none"."""
         current = self.store.keys["history/current"][0]
         prefix = "" if current["number"] == 1 else f"h{current['number']}.{current['name']}/"
         value = self.store.keys.get(prefix + records.FINAL + job)
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -1,6 +1,72 @@
-"""Reads a scenario and plays it: real controllers over stand-ins, in virtual time.
-
-Lines: `setup ...` before time starts, `at SECONDS ACTION ...` during, `expect ...` checked at the end. See README.txt.
+"""Plays a scenario in virtual time: real controllers over simulated services, workers and users.
+
+Kinds of lines (`#` begins a comment; see scenario_text.py for the syntax):
+
+    SETUP-WORD ...             applies before the start
+    at SECONDS ACTION ...      happens at that time
+    expect EXPECTATION ...     is checked at the end, see scenario_checks.py
+    end SECONDS                ends the scenario (default: 60)
+    vary NAME VALUE...         plays the scenario once for each value; `{NAME}` and `{NAME+0.2}` stand for it
+
+Setup words:
+
+    zones ZONE...                                       zones (default: a b c); controllers are spread over them in turn
+    controllers N                                       number of controllers (default: 3), named n0, n1, ...
+    team NAME [cpus=] [max=]                            a team with its guaranteed quota and its limit
+    type NAME [cpus=] [memory=] [boot=] [capacity=]     a machine type; boot is in seconds, capacity is per zone
+    machines TYPE ZONE [N] [spot]                       machines that are ready at the start, named vm-000001, ...
+    limits [report_s=] [lease_s=] [cancel_s=] [rps=] [write_rps=]   worker times, rate limits of the state service
+    next-limits write_rps= value_kb= txn_ops=           announced lower limits of the state service
+    page-items N                                        most items in one response of the state service
+    earlier NODE...                                     controllers that run the version before gangs
+    tuning NAME=VALUE...                                operators' settings, with underscores for hyphens
+
+Actions; `for=` and `by=` are in seconds, NODE is a controller, HOST is a controller, a machine, `store` or `cloud`:
+
+    submit JOB [NAME=VALUE...] [node=NODE]   a user submits a job until it is accepted or refused, then polls its state;
+                                             a name without a value is ignored: `together=1`, not `together`
+    cancel JOB [node=NODE]                   a user requests a cancellation until it is confirmed
+    cancel-at-end for=                       jobs whose last task ends during this time are cancelled at that moment
+    again JOB STATUS [node=NODE]             a user repeats a submission; STATUS, 503 or 504 is expected
+    raw METHOD TARGET STATUS [BODY]          a user sends one request; STATUS is expected
+    kill NODE [for=]                         the controller's process is killed, and restarted after `for` if given
+    kill-all [for=], kill-leader [for=]      the same for all controllers, or for the leader
+    upgrade NODE [for=]                      killed, and restarted with the present version
+    downgrade NODE [for=]                    killed, and restarted with the version before gangs
+    cut A B for= [mode=]                     two hosts can't reach each other; `*` is any host; modes: see net.LinkFault
+    cut-zone ZONE for= [mode=]               cut from the machines and controllers of a zone to all other controllers
+    alone NODE for=                          cut from a controller to the state service and all other controllers;
+                                             it still reaches its workers and users
+    mute MACHINE for=                        requests of the machine, also heartbeats, are dropped; direct commands and
+                                             their responses still arrive
+    deafen MACHINE for=                      responses and direct commands to the machine are dropped; its heartbeats
+                                             still arrive
+    slow-links for= by=                      every link has this latency
+    copies MACHINE [since=N] [gap=] [node=NODE]   copies of its heartbeats, from index N on, arrive in order, `gap`
+                                             seconds apart, at their original receivers or at NODE
+    late-reports for= share=                 of this share of heartbeats, a copy arrives from 2 s to 2 s and 1.5 leases
+                                             later
+    die MACHINE                              the machine fails for good, with all its tasks
+    hang MACHINE for=                        the machine neither executes nor responds, and then resumes
+    reboot MACHINE                           the worker restarts at once in a new incarnation, without tasks
+    sick MACHINE                             every task on the machine fails from now on
+    notice MACHINE for=                      the worker announces that its spot machine ends after that time
+    never-up N                               the next N machines that are requested never become ready
+    outage for=                              the state service refuses all requests; its leases are extended
+    refuse HOST for=                         the state service refuses all requests of one host
+    slow-store for= by=                      the state service delays all requests except watches
+    slow-writes PREFIX for= by=              transactions that write a key with this prefix are delayed, and carried out
+                                             even if the sender times out
+    slow-pages HOST by=                      the state service delays a host's reads of lists of keys, to the end
+    too-old HOST for=                        a host's watches get no response for that time, and then status 410
+    no-watch HOST for=                       a host's watches get status 429
+    late-writes for= share=                  this share of transactions gets no response and is carried out 2 to 12 s
+                                             later, after newer ones
+    lose-answers for=                        the state service carries out requests, but its responses are lost
+    repeat-all                               all transactions so far are carried out again; it is a problem if the
+                                             conditions of one hold, unless it writes nothing but machine records
+    lower-limits                             the limits of `next-limits` take effect
+    sure [not] CONDITION ...                 it is a problem if the condition does not hold now, see scenario_checks.py
 """
 
 from __future__ import annotations
@@ -29,47 +95,46 @@
 from spurarch.transport.http import NoAnswerError, Request
 from tests.sim import scenario_checks
 from tests.sim.clock import Clock
-from tests.sim.fleet import FakeCloud, Kind, World
-from tests.sim.net import Cut, SimNetwork, Wire
+from tests.sim.fleet import FakeCloud, MachineType, World
+from tests.sim.net import LinkFault, SimNetwork, Wire
 from tests.sim.scenario_text import Scenario, options
 from tests.sim.store import FakeStore
 
-FORGOTTEN_S = 75.0
+MAX_UNANSWERED_S = 75.0
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
 
-
-# A scenario names a setting as operators do, with underscores for hyphens.
+# Attributes by the name of the setting, with underscores for hyphens.
 TUNING_ATTRIBUTES = {f.encode_name.replace("-", "_"): f.name for f in msgspec.structs.fields(Tuning)}
 
 
 class Play:
-    """One run of a scenario."""
+    """One run of a scenario; `problems` lists everything that went wrong."""
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
         self.scenario = scenario
         self.clock = Clock()
-        self.random, self.boots = Random(seed), Random(seed + 2)
+        self.random, self.boot_random = Random(seed), Random(seed + 2)
         self.wire = Wire(self.clock, self.random)
         self.zones = ["a", "b", "c"]
         self.teams: list[Team] = []
         self.limits = {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 30.0, "rps": 200.0, "write_rps": 80.0}
         self.next_limits: NextStateLimits | None = None
-        self.earlier: set[str] = set()  # controllers of the version before gangs
+        self.earlier_version_nodes: set[str] = set()  # names of the controllers that run the version before gangs
         self.tuning = Tuning()
         self.count = 3
-        self.page_items = 1000  # of the state service
+        self.page_items = 1000  # most items in a response of the state service
         self.running: dict[str, Any] = {}
         self.controllers: dict[str, Controller] = {}
-        self.started: list[Controller] = []  # all that ever were
+        self.started: list[Controller] = []  # all that were ever started, in order
         self.networks: dict[str, SimNetwork] = {}
-        self.told: dict[str, list[str]] = {}
+        self.told: dict[str, list[str]] = {}  # by job: answers that its users have received, in order
         self.problems: list[str] = []
-        self.answers: list[int] = []
-        self.answered: dict[str, float] = {}
-        self.trouble_until = 0.0
+        self.answers: list[int] = []  # status codes of submissions
+        self.answered_at: dict[str, float] = {}  # by job: time of the latest answer to a status request
+        self.faults_end_at = 0.0
         self.leaders_ended = 0
         machines: list[list[str]] = []
-        kinds: list[Kind] = []
+        kinds: list[MachineType] = []
         for words in scenario.setup:
             self._set_up(words, kinds, machines)
         self.nodes = [(f"n{i}", f"10.0.0.{i + 1}:8080") for i in range(self.count)]
@@ -87,7 +152,7 @@
         self.wire.handlers[CLOUD] = self.cloud.handle
         self.wire.doors[STATE] = self.store.handler_for
 
-    def _set_up(self, words: list[str], kinds: list[Kind], machines: list[list[str]]) -> None:
+    def _set_up(self, words: list[str], kinds: list[MachineType], machines: list[list[str]]) -> None:
         opts = options(words)
         if words[0] == "zones":
             self.zones = words[1:]
@@ -97,7 +162,7 @@
             self.teams.append(Team(words[1], float(opts.get("cpus", 0)), float(opts.get("max", 0))))
         elif words[0] == "type":
             kinds.append(
-                Kind(
+                MachineType(
                     words[1],
                     float(opts.get("cpus", 4)),
                     float(opts.get("memory", 16)),
@@ -116,7 +181,7 @@
         elif words[0] == "page-items":
             self.page_items = int(words[1])
         elif words[0] == "earlier":
-            self.earlier.update(words[1:])
+            self.earlier_version_nodes.update(words[1:])
         elif words[0] == "tuning":
             for name, value in opts.items():
                 attribute = TUNING_ATTRIBUTES[name]
@@ -125,10 +190,10 @@
             raise ValueError(f"unknown line: {words}")
 
     def platform(self, index: int) -> Platform:
-        """Settings of one controller."""
+        """Returns the platform settings of one controller."""
         w = self.limits
-        # The version before gangs does not read what the platform says of limits to come.
-        next_limits = None if f"n{index}" in self.earlier else self.next_limits
+        # The version before gangs does not read announced limits.
+        next_limits = None if f"n{index}" in self.earlier_version_nodes else self.next_limits
         peers = [
             Peer(f"n{i}", self.zones[i % len(self.zones)], f"10.0.0.{i + 1}:8081")
             for i in range(self.count)
@@ -155,18 +220,18 @@
     async def start(self, node: str) -> None:
         """Starts a controller."""
         network = self.networks[node] = SimNetwork(self.wire, node)
-        boot = f"{self.boots.getrandbits(64):016x}"  # chosen here, so that equal plays are equal
-        version = records.GANG_VERSION - 1 if node in self.earlier else records.PROGRAM_VERSION
+        boot = f"{self.boot_random.getrandbits(64):016x}"  # seeded, so that two runs of the same scenario are equal
+        version = records.GANG_VERSION - 1 if node in self.earlier_version_nodes else records.PROGRAM_VERSION
         controller = self.controllers[node] = self.controller(node, network, boot, version)
         self.started.append(controller)
         self.running[node] = await curio.spawn(controller.run, daemon=True)
 
     def controller(self, node: str, network: SimNetwork, boot: str, version: int) -> Controller:
-        """A controller that is about to start."""
+        """Creates a controller, without starting it."""
         return Controller(self.platform(int(node[1:])), self.tuning, network, boot, version)
 
     async def kill(self, node: str) -> None:
-        """Ends a controller without a word. What it had sent is out already."""
+        """Ends a controller without any cleanup. Requests that it has sent are still delivered."""
         task = self.running.pop(node, None)
         if task is not None:
             self.networks[node].ended = True
@@ -175,7 +240,7 @@
             await task.cancel(blocking=False)
 
     def run(self) -> None:
-        """Plays to the end."""
+        """Plays the scenario to its end."""
         self.clock.run(self._main)
 
     async def _main(self) -> None:
@@ -196,20 +261,20 @@
         action, args, opts = words[0], words[1:], options(words)
         now = self.clock.now
         if action not in ("submit", "cancel", "raw"):
-            self.trouble_until = max(self.trouble_until, now + float(opts.get("for", 0.0)))
+            self.faults_end_at = max(self.faults_end_at, now + float(opts.get("for", 0.0)))
         if action == "submit":
-            await curio.spawn(self._user, args[0], opts, daemon=True)
+            await curio.spawn(self._run_user, args[0], opts, daemon=True)
         elif action == "cancel":
             await curio.spawn(self._cancel, args[0], opts.get("node"), daemon=True)
         elif action == "kill":
             await self.kill(args[0])
             if "for" in opts:
                 await curio.spawn(self._restart, args[0], float(opts["for"]), daemon=True)
-        elif action == "upgrade":  # killed, and back as the present version
-            self.earlier.discard(args[0])
+        elif action == "upgrade":
+            self.earlier_version_nodes.discard(args[0])
             await self._act(["kill", *args])
-        elif action == "downgrade":  # killed, and back as the version before gangs
-            self.earlier.add(args[0])
+        elif action == "downgrade":
+            self.earlier_version_nodes.add(args[0])
             await self._act(["kill", *args])
         elif action == "lower-limits":
             if self.next_limits is None:
@@ -222,26 +287,28 @@
         elif action == "kill-all":
             for node, _ in self.nodes:
                 await self._act(["kill", node, *args])
-        elif action == "alone":  # a controller loses the state service and the others, not its workers or users
+        elif action == "alone":
             for host in ["store", *(node for node, _ in self.nodes if node != args[0])]:
-                self.wire.cuts.append(Cut(args[0], host, now + float(opts["for"]), "drop"))
+                self.wire.link_faults.append(LinkFault(args[0], host, now + float(opts["for"]), "drop"))
         elif action == "cut":
-            self.wire.cuts.append(Cut(args[0], args[1], now + float(opts["for"]), opts.get("mode", "drop")))
+            self.wire.link_faults.append(
+                LinkFault(args[0], args[1], now + float(opts["for"]), opts.get("mode", "drop"))
+            )
         elif action == "outage":
             self.store.outage(float(opts["for"]))
         elif action == "refuse":
             self.store.refused[args[0]] = now + float(opts["for"])
-        elif action == "slow-writes":  # transactions that write a key with that beginning
+        elif action == "slow-writes":
             self.store.slow_writes[args[0]] = now + float(opts["for"]), float(opts["by"])
-        elif action == "slow-pages":  # lists of keys that a controller reads
+        elif action == "slow-pages":
             self.store.slow_pages[args[0]] = float(opts["by"])
-        elif action == "too-old":  # the watches of a controller wait, and their revision is too old by then
+        elif action == "too-old":
             self.store.too_old[args[0]] = now + float(opts["for"])
-        elif action == "no-watch":  # the watches of a controller are over the rate
+        elif action == "no-watch":
             self.store.no_watch[args[0]] = now + float(opts["for"])
         elif action == "slow-store":
             self.store.slow_until, self.store.slow_s = now + float(opts["for"]), float(opts["by"])
-        elif action == "repeat-all":  # late copies of all transactions; machines that come back so are checked for
+        elif action == "repeat-all":  # watch_records checks machine records that are created again
             again = self.store.repeat_all("live/machine/")
             if again:
                 self.problems.append(f"carried out a second time: {again}")
@@ -254,61 +321,61 @@
             else:
                 self.leaders_ended += 1
                 await self._act(["kill", leader, *args])
-        elif action == "late-writes":  # that share gets no answer and is carried out after newer ones
+        elif action == "late-writes":
             self.store.late_until, self.store.late_share = now + float(opts["for"]), float(opts["share"])
-        elif action == "late-reports":  # of that share a copy arrives again, up to well over a lease later
+        elif action == "late-reports":
             self.world.late_reports_until = now + float(opts["for"])
             self.world.late_reports_share = float(opts["share"])
-        elif action == "mute":  # its reports reach nobody, direct commands reach it
-            self.wire.cuts.append(Cut(args[0], "*", now + float(opts["for"]), "mute"))
-        elif action == "cancel-at-end":  # jobs that end are called off at that moment
-            await curio.spawn(self._cancel_ends, now + float(opts["for"]), daemon=True)
-        elif action == "again":  # a repeated submission; `again JOB STATUS`
-            await curio.spawn(self._again, args[0], int(args[1]), opts.get("node"), daemon=True)
+        elif action == "mute":
+            self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "mute"))
+        elif action == "cancel-at-end":
+            await curio.spawn(self._cancel_ended_jobs, now + float(opts["for"]), daemon=True)
+        elif action == "again":
+            await curio.spawn(self._repeat_submission, args[0], int(args[1]), opts.get("node"), daemon=True)
         elif action == "lose-answers":
             self.store.lose_answers_until = now + float(opts["for"])
         elif action == "die":
             self.world.workers[args[0]].die()
-        elif action == "deafen":  # its reports arrive, answers and commands don't
-            self.wire.cuts.append(Cut(args[0], "*", now + float(opts["for"]), "deaf"))
-        elif action == "copies":  # late copies of all its reports from the one with that number on
+        elif action == "deafen":
+            self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "deaf"))
+        elif action == "copies":
             worker = self.world.workers[args[0]]
             address = dict(self.nodes)[opts["node"]] if "node" in opts else None
             since, gap = float(opts.get("since", 0)), float(opts.get("gap", 0.3))
-            await curio.spawn(worker.copies, since, gap, address, daemon=True)
+            await curio.spawn(worker.deliver_copies, since, gap, address, daemon=True)
         elif action == "reboot":
             self.world.workers[args[0]].reboot()
         elif action == "hang":
             self.world.workers[args[0]].hang_until = now + float(opts["for"])
         elif action == "sick":
-            self.world.workers[args[0]].sick = True
-        elif action == "cut-zone":  # its machines and controllers from all other controllers
+            self.world.workers[args[0]].fails_tasks = True
+        elif action == "cut-zone":
             inside = {f"n{i}" for i in range(self.count) if self.zones[i % len(self.zones)] == args[0]}
             outside = [node for node, _ in self.nodes if node not in inside]
             hosts = [w.name for w in self.world.workers.values() if w.zone == args[0]] + sorted(inside)
-            self.wire.cuts += [
-                Cut(host, node, now + float(opts["for"]), opts.get("mode", "drop"))
+            self.wire.link_faults += [
+                LinkFault(host, node, now + float(opts["for"]), opts.get("mode", "drop"))
                 for host in hosts
                 for node in outside
             ]
         elif action == "notice":
             self.world.workers[args[0]].notice_until = now + float(opts["for"])
         elif action == "raw":
-            await curio.spawn(self._raw, args, daemon=True)
+            await curio.spawn(self._send_raw_request, args, daemon=True)
         elif action == "never-up":
             self.cloud.never_up = int(args[0])
-        elif action == "sure":  # the meeting that the scenario is about takes place
-            if not self._meets(args):
+        elif action == "sure":
+            if not self._condition_holds(args):
                 self.problems.append(f"the meeting did not take place: {' '.join(args)} at {now - 1000:.2f}")
         else:
             raise ValueError(f"unknown action: {words}")
 
-    def _meets(self, words: list[str]) -> bool:
-        return scenario_checks.meets(self, words)
+    def _condition_holds(self, words: list[str]) -> bool:
+        return scenario_checks.condition_holds(self, words)
 
     async def _restart(self, node: str, after: float) -> None:
         await curio.sleep(after)
-        if node not in self.running:  # it was killed while it was away, and started since
+        if node not in self.running:  # another restart may have started it meanwhile
             await self.start(node)
 
     # Users
@@ -326,7 +393,7 @@
             return response.status, json.loads(response.body)
         return 504, {}
 
-    def _tell(self, job_id: str, state: str) -> None:
+    def _check_answer(self, job_id: str, state: str) -> None:
         told = self.told.setdefault(job_id, [])
         final = [s for s in told if s in ("done", "aborted")]
         if final and state != final[0]:
@@ -337,7 +404,7 @@
             self.problems.append(f"went_back: {job_id} was never cancelled")
         told.append(state)
 
-    async def _user(self, job_id: str, opts: dict[str, str]) -> None:
+    async def _run_user(self, job_id: str, opts: dict[str, str]) -> None:
         spec = {
             "ref": job_id,
             "circuit": "c",
@@ -380,10 +447,10 @@
             await curio.sleep(2.0)
             status, answer = await self._ask("GET", f"/submissions/{job_id}", b"")
             if status == 200:
-                self.answered[job_id] = self.clock.now
-                self._tell(job_id, answer["standing"])
-            elif self.clock.now - max(self.answered.get(job_id, 0.0), self.trouble_until) > FORGOTTEN_S:
-                self.problems.append(f"forgotten: no question about {job_id} was answered for {FORGOTTEN_S:.0f} s")
+                self.answered_at[job_id] = self.clock.now
+                self._check_answer(job_id, answer["standing"])
+            elif self.clock.now - max(self.answered_at.get(job_id, 0.0), self.faults_end_at) > MAX_UNANSWERED_S:
+                self.problems.append(f"forgotten: no question about {job_id} was answered for {MAX_UNANSWERED_S:.0f} s")
             elif status == 404 and self.told.get(job_id):
                 self.problems.append(f"forgotten: {job_id} got 404")
 
@@ -394,27 +461,27 @@
             if status == 200:
                 if answer["standing"] == "aborted":
                     self.world.cancelled_at.setdefault(job_id, self.clock.now)
-                self._tell(job_id, answer["standing"])
+                self._check_answer(job_id, answer["standing"])
                 return
             await curio.sleep(1.0)
 
-    async def _cancel_ends(self, until: float) -> None:
+    async def _cancel_ended_jobs(self, until: float) -> None:
         self.world.ended.clear()
         while self.clock.now < until:
             await curio.sleep(0.01)
             while self.world.ended:
                 await curio.spawn(self._cancel, self.world.ended.pop(), None, daemon=True)
 
-    async def _again(self, job_id: str, expected: int, node: str | None) -> None:
-        """A user repeats a submission; 503 is an answer too, and any standing must fit what was told before."""
+    async def _repeat_submission(self, job_id: str, expected: int, node: str | None) -> None:
+        """Repeats a submission. 503 and 504 are accepted too; a state must be consistent with earlier answers."""
         status, answer = await self._ask("POST", "/submissions", json.dumps(self.world.jobs[job_id]).encode(), node)
         if status == 200:
-            self._tell(job_id, answer["standing"])
+            self._check_answer(job_id, answer["standing"])
         if status not in (expected, 503, 504):
             self.problems.append(f"a repeat of {job_id} got {status} instead of {expected}")
 
-    async def _raw(self, args: list[str]) -> None:
-        """`raw METHOD TARGET STATUS [BODY]`: one request whose status is checked."""
+    async def _send_raw_request(self, args: list[str]) -> None:
+        """Sends one request, `METHOD TARGET STATUS [BODY]`, and checks its status."""
         body = args[3].encode() if len(args) > 3 else b""
         status, _ = await self._ask(args[0], args[1], body)
         if status != int(args[2]):
@@ -431,8 +498,8 @@
             self.problems += controller.view.ledger.violations.messages
         for words in self.scenario.expects:
             text = " ".join(words)
-            if not self._holds(words):
+            if not self._expectation_holds(words):
                 self.problems.append(f"expected: {text}; told {self.told}")
 
-    def _holds(self, words: list[str]) -> bool:
-        return scenario_checks.holds(self, words)
+    def _expectation_holds(self, words: list[str]) -> bool:
+        return scenario_checks.expectation_holds(self, words)
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -1,4 +1,42 @@
-"""What a scenario asks: whether something is so at a moment (`sure`), all the time, or at the end (`expect`)."""
+"""Checks of a scenario: conditions of `sure`, a check during the whole run, and expectations at the end.
+
+Conditions (`sure CONDITION` or `sure not CONDITION`):
+
+    confirmed JOB             its user has received the confirmation of its cancellation
+    runs JOB                  a task of the job is on a machine, with its image
+    runs-all JOB              all tasks of a gang are running
+    gathers JOB               a task of a gang has its image and waits for the others
+    up NODE                   the controller's process is running
+    leads NODE                the controller is running and is the leader
+    holds NODE ZONE           the controller owns the partition, by the records of the state service
+    loaded NODE               the controller is running, and its copy of the records is loaded
+    known NODE JOB            the controller's copy of the records has the job
+    copied NODE JOB           the controller's copy of the records shows the job as cancelled
+    heard NODE JOB            the controller was notified by a peer of the job's cancellation
+    answered STATUS           a submission got this status code
+    recorded PREFIX           the state service has a key with this prefix
+    unrecorded PREFIX         the state service has no key with this prefix
+
+Expectations (`expect EXPECTATION`):
+
+    told JOB STATE            the last answer to the job's user was this state, or the status that refused the job
+    on JOB N                  N tasks of the job are on machines
+    begun JOB SECONDS         the first task of the job started within this time after the submission
+    attempts JOB N            N attempts of the gang have run
+    orderly JOB N             in N of them, the members saved their progress when they were stopped
+    started N                 at most N tasks were started
+    started-once              no task started twice, except once more for each worker that lost it with its lease
+    session MACHINE N         the worker's incarnation is N; it rises by one when its lease expires
+    gone MACHINE              the machine was released
+    kept MACHINE              the machine was not released
+    machines MIN MAX          the number of machines that are rented is in this range
+    leaders N                 N leaders were killed by `kill-leader`
+    late-writes N M           at least N late transactions met their conditions, and at least M did not
+    late-reports N            at least N late copies of heartbeats arrived
+    repeated PREFIX N         at least N transactions that created a key with this prefix were repeated
+    throttled N               at most N requests were over the rate limits of the state service
+    empty PREFIX              the state service has no key with this prefix
+"""
 
 from __future__ import annotations
 
@@ -6,126 +44,131 @@
 
 import curio
 
-from tests.sim.store import LATEST_S
+from tests.sim.store import MAX_TRANSACTION_DELAY_S
 
 if TYPE_CHECKING:
     from tests.sim.scenario import Play
 
-REVIVED_S, REVIVED_TIMES = 3.0, 3
-FIND_S = 5.5  # workers need so long to find another controller
+RECORD_REMOVAL_S, MAX_RECORD_RETURNS = 3.0, 3
+FIND_CONTROLLER_S = 5.5  # longest time in which a worker finds another controller
 
 
-def meets(play: Play, words: list[str]) -> bool:
-    """Whether something is so at this moment; with `not` in front, whether it is not."""
+def condition_holds(play: Play, words: list[str]) -> bool:
+    """Returns whether a condition of `sure` holds now; a leading `not` inverts it."""
     if words[0] == "not":
-        return not meets(play, words[1:])
+        return not condition_holds(play, words[1:])
     kind, *args = words
-    if kind == "confirmed":  # its user has been told that it is cancelled
+    if kind == "confirmed":
         return args[0] in play.world.cancelled_at
-    if kind == "runs":  # a task of it is on a machine
+    if kind == "runs":
         return any(task.name.startswith(args[0] + "/") for _, task in play.world.on_machines())
     if kind == "up":
         return args[0] in play.running
     if kind == "leads":
         return args[0] in play.running and play.controllers[args[0]].membership.leading
-    if kind == "holds":  # on record, as the state service has it
+    if kind == "holds":
         value = play.store.keys.get(f"live/part/{args[1]}")
         return value is not None and value[0]["node"] == args[0]
-    if kind == "copied":  # the copy of a controller shows that a job is cancelled
+    if kind == "copied":
         record = play.controllers[args[0]].replica.state.jobs.get(args[1])
         return record is not None and record.cancelled
-    if kind == "heard":  # a controller was told by another that a job is cancelled
+    if kind == "heard":
         return args[1] in play.controllers[args[0]].reachability.cancelled_by_peers
-    if kind == "runs-all":  # all tasks of a gang run
+    if kind == "runs-all":
         job = play.world.jobs[args[0]]
         states = [task.state for _, task in play.world.on_machines() if task.name.startswith(args[0] + "/")]
         return states == ["running"] * job["legs"]
-    if kind == "gathers":  # a task of a gang waits for the others
+    if kind == "gathers":
         return any(t.name.startswith(args[0] + "/") and t.state == "gathering" for _, t in play.world.on_machines())
-    if kind == "answered":  # a user got that status
+    if kind == "answered":
         return int(args[0]) in play.answers
-    if kind in ("recorded", "unrecorded"):  # a key with that beginning is on record, or none
+    if kind in ("recorded", "unrecorded"):
         return any(key.startswith(args[0]) for key in play.store.keys) == (kind == "recorded")
-    if kind == "known":  # the copy of a controller has the job
+    if kind == "known":
         return args[1] in play.controllers[args[0]].replica.state.jobs
     if kind == "loaded":
         return args[0] in play.running and play.controllers[args[0]].replica.loaded
-    raise ValueError(f"unknown state of things: {words}")
+    raise ValueError(f"unknown condition: {words}")
 
 
 async def watch_records(play: Play) -> None:
-    """All the time: no machine that is gone for good is taken for room again.
+    """Checks throughout the run that no released machine is recorded as open to tasks.
 
-    While the state service is out, nobody can take it off the record, nor put anything onto it, nor while its
-    answers come too late. A late transaction may put it back, for as long as its owner needs to take it off;
-    whatever does that time and again is a fault. When all controllers end, none is left that knows of the return:
-    those that come back find out by the machine's silence, as for any machine that they never heard.
+    During an outage of the state service, or while its responses are too slow, records can't be changed, so that time
+    is not counted. A late transaction may create the record again until the partition owner removes it; that this
+    happens repeatedly is a fault. If all controllers end, none of them has the release in memory: after their restart
+    they detect it by the missing heartbeats, as for any machine that has sent them none.
     """
-    unheard_s = max(1.5 * play.limits["lease_s"], play.limits["cancel_s"] - play.limits["lease_s"] + FIND_S)
-    all_away_at = float("-inf")
-    back: dict[str, tuple[int, float]] = {}  # by key: the change that put it there again, and when that was seen
-    times: dict[str, int] = {}
+    silent_s = max(1.5 * play.limits["lease_s"], play.limits["cancel_s"] - play.limits["lease_s"] + FIND_CONTROLLER_S)
+    all_ended_at = float("-inf")
+    record_versions: dict[str, tuple[int, float]] = {}  # by key: version of the record, and when it was first seen
+    return_counts: dict[str, int] = {}
     while True:
         await curio.sleep(0.05)
         if not play.running:
-            all_away_at = play.clock.now
+            all_ended_at = play.clock.now
         for key, (value, version, _) in play.store.keys.items():
             if key.startswith("live/machine/") and value["open"]:
                 name = key.rsplit("/", 1)[1]
                 gone_at = play.cloud.machines[name].get("gone_at", play.clock.now)
-                if gone_at <= all_away_at:
-                    gone_at = all_away_at + unheard_s
+                if gone_at <= all_ended_at:
+                    gone_at = all_ended_at + silent_s
                 gone_at = max(gone_at, play.store.outage_until, play.store.slow_until)
                 if play.clock.now <= gone_at:
-                    back[key] = version, play.clock.now
+                    record_versions[key] = version, play.clock.now
                     continue
-                if back.setdefault(key, (version, gone_at))[0] != version:
-                    back[key] = version, play.clock.now
-                    times[key] = times.get(key, 0) + 1
-                # The transaction that takes it off may itself be one that is carried out late.
-                timeout_s = REVIVED_S + (LATEST_S if play.clock.now < play.store.late_until + LATEST_S else 0.0)
-                if play.clock.now - max(gone_at, back[key][1]) > timeout_s or times.get(key, 0) > REVIVED_TIMES:
+                if record_versions.setdefault(key, (version, gone_at))[0] != version:
+                    record_versions[key] = version, play.clock.now
+                    return_counts[key] = return_counts.get(key, 0) + 1
+                # The transaction that removes the record may itself be carried out late.
+                timeout_s = RECORD_REMOVAL_S + (
+                    MAX_TRANSACTION_DELAY_S if play.clock.now < play.store.late_until + MAX_TRANSACTION_DELAY_S else 0.0
+                )
+                if (
+                    play.clock.now - max(gone_at, record_versions[key][1]) > timeout_s
+                    or return_counts.get(key, 0) > MAX_RECORD_RETURNS
+                ):
                     play.problems.append(f"revived: {name} at {play.clock.now - 1000:.2f}")
                     return
 
 
-def holds(play: Play, words: list[str]) -> bool:
-    """Whether an expectation at the end of a scenario is met."""
+def expectation_holds(play: Play, words: list[str]) -> bool:
+    """Returns whether an expectation is met at the end of a scenario."""
     kind, args = words[0], words[1:]
     if kind == "told":
         return play.told.get(args[0], ["nothing"])[-1] == args[1]
-    if kind == "attempts":  # attempts JOB NUMBER: so many attempts of a gang have run
+    if kind == "attempts":
         return play.world.gangs.starts.get(args[0], 0) == int(args[1])
-    if kind == "orderly":  # orderly JOB NUMBER: so many of them saved their progress when they were stopped
+    if kind == "orderly":
         return play.world.gangs.orderly.get(args[0], 0) == int(args[1])
-    if kind == "on":  # on JOB COUNT: replicas that run at the end
+    if kind == "on":
         found = [t for _, t in play.world.on_machines() if t.name.startswith(args[0] + "/")]
         return len(found) == int(args[1])
-    if kind == "begun":  # begun JOB SECONDS: its first task started so soon after its submission
+    if kind == "begun":
         began = play.world.began.get(args[0], float("inf"))
         return began - play.world.submitted[args[0]] <= float(args[1])
-    if kind == "session":  # session MACHINE NUMBER: its lease ran out so often, plus one
-        return play.world.workers[args[0]].session == int(args[1])
-    if kind == "late-writes":  # so many transactions were carried out late: met their conditions, and did not
+    if kind == "session":
+        return play.world.workers[args[0]].incarnation == int(args[1])
+    if kind == "late-writes":
         return play.store.late_applied >= int(args[0]) and play.store.late_refused >= int(args[1])
     if kind == "late-reports":
         return play.world.late_reports >= int(args[0])
-    if kind == "leaders":  # so many leaders came to an end
+    if kind == "leaders":
         return play.leaders_ended == int(args[0])
-    if kind == "repeated":  # repeated PREFIX NUMBER: so many transactions that created such keys were repeated
+    if kind == "repeated":
         return play.store.repeated.get(args[0], 0) >= int(args[1])
     if kind == "throttled":
         return play.store.throttled <= int(args[0])
     if kind == "machines":
         up = sum(not m["gone"] for m in play.cloud.machines.values())
         return int(args[0]) <= up <= int(args[1])
-    if kind in ("gone", "kept"):  # a machine was returned, or not
+    if kind in ("gone", "kept"):
         return bool(play.cloud.machines[args[0]]["gone"]) == (kind == "gone")
     if kind == "started":
         return play.world.rules.started <= int(args[0])
-    if kind == "started-once":  # each task, and once more for each worker that forgot it as its lease ended
+    if kind == "started-once":
         rules = play.world.rules
         return all(n <= 1 + rules.lost_with_lease.get(name, 0) for name, n in rules.starts.items())
-    if kind == "empty":  # empty PREFIX: no key with it is left in the state service
+    if kind == "empty":
         return not [key for key in play.store.keys if key.startswith(args[0])]
     raise ValueError(f"unknown expectation: {words}")
--- a/tests/sim/scenario_text.py
+++ b/tests/sim/scenario_text.py
@@ -1,6 +1,7 @@
-"""The text of a scenario.
+"""Parses the text of a scenario; its words are listed in scenario.py and scenario_checks.py.
 
-Its lines are `setup` lines, `at SECONDS ACTION ...`, `expect ...`, `end SECONDS`, and `vary NAME VALUE...`.
+A line is `at SECONDS ACTION ...`, `expect ...`, `end SECONDS` or `vary NAME VALUE...`; any other line is a setup line.
+Words are split as by a shell, and `#` begins a comment.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 
 def options(words: list[str]) -> dict[str, str]:
-    """`name=value` words."""
+    """Returns the `name=value` words as a dictionary; other words are ignored."""
     return dict(word.split("=", 1) for word in words if "=" in word)
 
 
 @dataclass
 class Scenario:
-    """A scenario as it stands in its file."""
+    """The parsed lines of a scenario; each is a list of words."""
 
     setup: list[list[str]] = field(default_factory=list)
     actions: list[tuple[float, list[str]]] = field(default_factory=list)
@@ -28,18 +29,18 @@
 
     @staticmethod
     def variants(path: Path) -> list[dict[str, str]]:
-        """The values of every `vary NAME VALUE...` line, in all their combinations."""
+        """Returns all combinations of the values of the `vary` lines, each by name."""
         lines = [shlex.split(line) for line in path.read_text().splitlines() if line.startswith("vary ")]
         return [dict(zip([w[1] for w in lines], values, strict=True)) for values in product(*(w[2:] for w in lines))]
 
     @staticmethod
     def read(path: Path, values: dict[str, str] | None = None) -> Scenario:
-        """Reads a file; `{NAME}` stands for a value of a `vary` line, `{NAME+0.2}` for that much more."""
+        """Reads a file; `{NAME}` is replaced by the value of a `vary` line, `{NAME+0.2}` by that value plus 0.2."""
         return Scenario.parse(path.read_text(), values or {})
 
     @staticmethod
     def parse(text: str, values: dict[str, str]) -> Scenario:
-        """Reads the text of a scenario."""
+        """Parses the text of a scenario; `values` replace `{NAME}` as in read()."""
         out = Scenario()
 
         def value(match: re.Match[str]) -> str:
--- a/tests/sim/soak_world.py
+++ b/tests/sim/soak_world.py
@@ -71,7 +71,7 @@
             self._stepping = False
         super().check_start(worker, task)
         team = self.jobs[task.name.split("/")[0]]["crew"]
-        held = [task for other, task in self.on_machines() if not other.frozen_for_good()]
+        held = [task for other, task in self.on_machines() if not other.hangs_past_lease()]
         jobs = [self.jobs[task.name.split("/")[0]] for task in held]
         used = sum(job["vcpus"] for job in jobs if job["crew"] == team)
         self.most_used[team] = max(self.most_used.get(team, 0.0), used / self.limits[team])
--- a/tests/sim/store.py
+++ b/tests/sim/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the state service, written from its published protocol."""
+"""A simulated state service, written from its published protocol."""
 
 from __future__ import annotations
 
@@ -13,93 +13,91 @@
 from spurarch.transport.http import Request, Response
 from tests.sim.clock import Clock
 
-LATEST_S = 12.0  # a transaction without an answer is carried out no later
+MAX_TRANSACTION_DELAY_S = 12.0  # a late transaction is carried out within this time
 
 
-def answer(status: int, body: object) -> Response:
-    """A JSON response."""
+def json_response(status: int, body: object) -> Response:
+    """Returns a JSON response."""
     return Response(status, json.dumps(body).encode())
 
 
-def _begins(start: str) -> Callable[[str], bool]:
-    return lambda key: key.startswith(start)
+def _has_prefix(prefix: str) -> Callable[[str], bool]:
+    return lambda key: key.startswith(prefix)
 
 
 class FakeStore:
-    """Keys, leases, transactions and watches, with the published limits."""
+    """Keys, leases, transactions and watches, with the limits of the published protocol and injected faults."""
 
     def __init__(
         self, clock: Clock, random: Random, rps: float, write_rps: float, value_kb: float, txn_ops: int
     ) -> None:
         self.clock, self.random = clock, random
-        self.keys: dict[str, tuple[Any, int, int | None]] = {}
-        self.leases: dict[int, tuple[float, float]] = {}
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}  # value, revision of its last write, lease
+        self.leases: dict[int, tuple[float, float]] = {}  # time to live in seconds, expiry
         self.revision = 0
         self.events: list[tuple[int, dict[str, Any]]] = []
         self.outage_until = 0.0
-        self.refused: dict[str, float] = {}
+        self.refused: dict[str, float] = {}  # by host: until when its requests are refused
         self.lose_answers_until = 0.0
         self.slow_until, self.slow_s = 0.0, 0.0
         self.late_until, self.late_share = 0.0, 0.0
-        self.late_applied = 0  # transactions that were carried out late and found their conditions met
-        self.late_refused = 0  # those that did not
-        self.throttled = 0
-        self.faults: list[str] = []
+        self.late_applied = 0  # late transactions whose conditions held
+        self.late_refused = 0  # late transactions that were refused
+        self.throttled = 0  # requests over a rate limit
+        self.faults: list[str] = []  # requests that exceed the published limits
         self.page_items = 1000
-        self.slow_writes: dict[str, tuple[float, float]] = {}  # by beginning of a key: until when, seconds
-        self.slow_pages: dict[str, float] = {}  # by host: seconds
-        self.too_old: dict[
-            str, float
-        ] = {}  # by host: its watches wait until then, and their revision is too old by then
-        self.kept_from: dict[str, int] = {}  # by host: the oldest revision that its watches may begin from
-        self.no_watch: dict[str, float] = {}  # by host: its watches are over the rate until then
-        self._carried: list[dict[str, Any]] = []  # transactions that changed something
-        self.repeated: dict[str, int] = {}  # by the beginning of a key, transactions that created one and were repeated
+        self.slow_writes: dict[str, tuple[float, float]] = {}  # by key prefix: until when, delay in seconds
+        self.slow_pages: dict[str, float] = {}  # by host: delay of a read in seconds
+        self.too_old: dict[str, float] = {}  # by host: its watches get no response until then, and then 410
+        self.oldest_watch_revision: dict[str, int] = {}  # by host: oldest revision from which its watches may start
+        self.no_watch: dict[str, float] = {}  # by host: until when its watches get 429
+        self._carried: list[dict[str, Any]] = []  # applied transactions with changes, in order
+        self.repeated: dict[str, int] = {}  # by key prefix: repeated transactions that had created such a key
         self._rates = {"requests": (rps, rps, clock.now), "writes": (write_rps, write_rps, clock.now)}
         self._value_bytes, self._txn_ops = value_kb * 1024, txn_ops
         self._next_lease = 1
 
-    def _take(self, what: str, amount: int) -> bool:
-        rate, level, at = self._rates[what]
+    def _take_tokens(self, limit: str, amount: int) -> bool:
+        rate, level, at = self._rates[limit]
         level = min(rate, level + (self.clock.now - at) * rate)
-        good = level >= amount
-        self._rates[what] = rate, level - amount if good else level, self.clock.now
-        self.throttled += not good
-        return good
+        allowed = level >= amount
+        self._rates[limit] = rate, level - amount if allowed else level, self.clock.now
+        self.throttled += not allowed
+        return allowed
 
     def wipe(self) -> None:
-        """All data is lost, and revisions begin anew."""
+        """Deletes all data; revisions start again at 0."""
         self.go_back_to(0, {})
 
     def go_back_to(self, revision: int, keys: dict[str, tuple[Any, int, int | None]]) -> None:
-        """The data as it was at a revision; what came later is lost, leases and watched changes included."""
+        """Restores the data of an earlier revision and discards later changes and all leases."""
         self.revision, self.keys = revision, dict(keys)
         self.events = [(at, event) for at, event in self.events if at <= revision]
         self.leases.clear()
         self._carried.clear()
 
     def outage(self, seconds: float) -> None:
-        """Down for a while; afterwards every lease has its full time."""
+        """Refuses all requests for some seconds; every lease has its full time to live afterwards."""
         self.outage_until = self.clock.now + seconds
         for lease, (ttl, _) in self.leases.items():
             self.leases[lease] = ttl, self.outage_until + ttl
 
     def expire(self) -> None:
-        """Drops the keys of leases that ran out."""
+        """Deletes expired leases with their keys."""
         if self.clock.now < self.outage_until:
             return
         for lease, (_, end) in list(self.leases.items()):
             if self.clock.now >= end:
                 del self.leases[lease]
-                gone = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
-                if gone:
+                expired = [key for key, (_, _, owner) in self.keys.items() if owner == lease]
+                if expired:
                     self.revision += 1
-                for key in gone:
+                for key in expired:
                     del self.keys[key]
                     self.events.append((self.revision, {"drop": key, "stamp": self.revision}))
 
     def handler_for(self, host: str) -> Any:
-        """The service as one host reaches it."""
+        """Returns the handler for requests of one host."""
 
         async def handle(request: Request) -> Response:
             self.expire()
@@ -109,13 +107,13 @@
             if url.path == "/watch" and not down:
                 return await self._watch(host, query)
             if down:
-                return answer(503, {"error": "trouble"})
+                return json_response(503, {"error": "trouble"})
             if self.clock.now < self.slow_until:
                 await curio.sleep(self.slow_s)
-            if not self._take("requests", 1):
-                return answer(429, {"error": "rate"})
+            if not self._take_tokens("requests", 1):
+                return json_response(429, {"error": "rate"})
             if url.path == "/txn" and self.slow_writes and (slow_s := self._slow_write_s(request)):
-                # Carried out also if its sender does not wait for it.
+                # Spawned, so that it is carried out even if the sender times out.
                 task = await curio.spawn(self._carry_out_slowly, request, slow_s, daemon=True)
                 response: Response = await task.join()
                 return response
@@ -137,26 +135,26 @@
         return self._serve(request, "/txn", {})
 
     def _slow_write_s(self, request: Request) -> float:
-        """How long a transaction waits before it is carried out, by the keys that it writes."""
+        """Returns the delay in seconds of a transaction, by the keys that it writes."""
         now = self.clock.now
         written = [change.get("write", "") for change in json.loads(request.body)["then"]]
         return max(
             (
-                by
-                for start, (until, by) in self.slow_writes.items()
-                if now < until and any(map(_begins(start), written))
+                delay_s
+                for prefix, (until, delay_s) in self.slow_writes.items()
+                if now < until and any(map(_has_prefix(prefix), written))
             ),
             default=0.0,
         )
 
     def lower_limits(self, write_rps: float, value_kb: float, txn_ops: int) -> None:
-        """From now on less is taken; what is stored stays."""
+        """Lowers the limits of later requests; stored values stay as they are."""
         self._rates["writes"] = write_rps, min(write_rps, self._rates["writes"][1]), self.clock.now
         self._value_bytes, self._txn_ops = value_kb * 1024, txn_ops
 
     async def _carry_out_late(self, request: Request) -> None:
-        """A transaction that got no answer is carried out after newer ones; in an outage, once that is over."""
-        await curio.sleep(2.0 + (LATEST_S - 2.0) * self.random.random())
+        """Carries out a transaction after 2 s to MAX_TRANSACTION_DELAY_S, or else when the outage is over."""
+        await curio.sleep(2.0 + (MAX_TRANSACTION_DELAY_S - 2.0) * self.random.random())
         await curio.sleep(max(0.0, self.outage_until - self.clock.now))
         self.expire()
         if self._serve(request, "/txn", {}).status == 200:
@@ -171,27 +169,27 @@
             self._next_lease += 1
             ttl = json.loads(request.body)["life_ms"] / 1000
             self.leases[self._next_lease] = ttl, self.clock.now + ttl
-            return answer(200, {"tether": self._next_lease})
+            return json_response(200, {"tether": self._next_lease})
         if path.startswith("/grants/"):
             lease = int(path.split("/")[2])
             if lease not in self.leases:
-                return answer(404, {})
+                return json_response(404, {})
             ttl = self.leases[lease][0]
             self.leases[lease] = ttl, self.clock.now + ttl
-            return answer(200, {})
+            return json_response(200, {})
         if path == "/kv":
             return self._list(query)
         key = path.removeprefix("/kv/")
         if key not in self.keys:
-            return answer(404, {"ledger": self.revision})
+            return json_response(404, {"ledger": self.revision})
         value, stamp, lease_id = self.keys[key]
-        return answer(200, {"key": key, "value": value, "stamp": stamp, "tether": lease_id})
+        return json_response(200, {"key": key, "value": value, "stamp": stamp, "tether": lease_id})
 
     def _list(self, query: dict[str, str]) -> Response:
         names = sorted(k for k in self.keys if k.startswith(query.get("prefix", "")) and k > query.get("from", ""))
-        most = min(self.page_items, int(query.get("most", 1000)))
-        items = [{"key": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:most]]
-        return answer(200, {"items": items, "has_next": len(names) > most, "ledger": self.revision})
+        max_items = min(self.page_items, int(query.get("most", 1000)))
+        items = [{"key": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in names[:max_items]]
+        return json_response(200, {"items": items, "has_next": len(names) > max_items, "ledger": self.revision})
 
     def _txn(self, body: dict[str, Any]) -> Response:
         ops, guards = body["then"], body["guards"]
@@ -201,14 +199,14 @@
             self.faults.append(f"transaction too large: {len(ops)} changes, {len(guards)} guards, {size} bytes")
         if any(v > self._value_bytes for v in values):
             self.faults.append("value too large")
-        if not self._take("writes", len(ops)):
-            return answer(429, {"error": "rate"})
+        if not self._take_tokens("writes", len(ops)):
+            return json_response(429, {"error": "rate"})
         for op in ops:
             if op.get("tether") is not None and op["tether"] not in self.leases:
-                return answer(400, {"error": "no such lease"})
+                return json_response(400, {"error": "no such lease"})
         failed = [g["key"] for g in guards if (self.keys[g["key"]][1] if g["key"] in self.keys else 0) != g["stamp"]]
         if failed:
-            return answer(409, {"failed": failed, "ledger": self.revision})
+            return json_response(409, {"failed": failed, "ledger": self.revision})
         if ops:
             self.revision += 1
             self._carried.append(body)
@@ -219,15 +217,15 @@
             else:
                 self.keys.pop(op["drop"], None)
                 self.events.append((self.revision, {**op, "stamp": self.revision}))
-        return answer(200, {"ledger": self.revision})
+        return json_response(200, {"ledger": self.revision})
 
     def repeat_all(self, but: str) -> list[str]:
-        """Carries out every transaction once more, as a late copy of it would be.
+        """Carries out every transaction so far once more, as a delayed duplicate.
 
-        Returns the keys of those that found their conditions met again, except the ones that create nothing but keys
-        that begin with `but`.
+        Returns the changed keys of the duplicates whose conditions held, except of those that write only keys with the
+        prefix `but`.
         """
-        again = []
+        changed_keys = []
         for body in list(self._carried):
             created = [
                 g["key"]
@@ -240,12 +238,12 @@
                 self.repeated[kind] = self.repeated.get(kind, 0) + 1
             self._rates["writes"] = 1e9, 1e9, self.clock.now
             if self._txn(body).status == 200 and not all(op.get("write", "").startswith(but) for op in body["then"]):
-                again += [op.get("write") or op["drop"] for op in body["then"]]
-        return again
+                changed_keys += [op.get("write") or op["drop"] for op in body["then"]]
+        return changed_keys
 
     async def _watch(self, host: str, query: dict[str, str]) -> Response:
-        if not self._take("requests", 1) or self.clock.now < self.no_watch.get(host, 0.0):
-            return answer(429, {"error": "rate"})
+        if not self._take_tokens("requests", 1) or self.clock.now < self.no_watch.get(host, 0.0):
+            return json_response(429, {"error": "rate"})
         after, end = int(query["from"]), self.clock.now + int(query.get("wait_ms", 0)) / 1000
         while self.revision <= after and self.clock.now < end:
             await curio.sleep(0.005)
@@ -256,8 +254,8 @@
             await curio.sleep(0.05)
             if self.clock.now >= self.too_old.get(host, float("inf")):
                 del self.too_old[host]
-                self.kept_from[host] = self.revision
-        if after < max(self.revision - 10_000, self.kept_from.get(host, 0)):
-            return answer(410, {})
+                self.oldest_watch_revision[host] = self.revision
+        if after < max(self.revision - 10_000, self.oldest_watch_revision.get(host, 0)):
+            return json_response(410, {})
         news = [event for revision, event in self.events if revision > after]
-        return answer(200, {"ledger": self.revision, "news": news})
+        return json_response(200, {"ledger": self.revision, "news": news})
