--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -20,14 +20,14 @@
 
 @dataclass
 class SimTask:
-    """A task on a worker. `why` is the cause of its end; `ends_at` is None if the end of its run is not planned."""
+    """A task on a worker. `cause` is the cause of its end; `ends_at` is None if the end of its run is not planned."""
 
     name: str
     attempt: int
     state: str
     ready_at: float
     ends_at: float | None
-    why: str | None = None
+    cause: str | None = None
     gathering_since: float = 0.0
     saved: bool = False
 
@@ -80,11 +80,11 @@
         self.faulty: set[str] = set()
         self.workers: dict[str, Worker] = {}
         self.rules = Rules()
-        self.began: dict[str, float] = {}  # by job: start of its first task
+        self.first_started_at: dict[str, float] = {}  # by job: start of its first task
         self.submitted: dict[str, float] = {}
         self.random = Random(1)
-        self.late_reports_until, self.late_reports_share, self.late_reports = 0.0, 0.0, 0
-        self.ended: list[str] = []  # jobs whose last task has ended since the list was last emptied
+        self.late_heartbeats_until, self.late_heartbeats_share, self.late_heartbeats = 0.0, 0.0, 0
+        self.ended_jobs: list[str] = []  # jobs whose last task has ended since the list was last emptied
 
     def worker_address(self, number: int) -> str:
         """Returns the address of the worker on the machine with this number."""
@@ -116,7 +116,7 @@
         self.rules.starts[task.name] = self.rules.starts.get(task.name, 0) + 1
         job = task.name.split("/")[0]
         spec = self.jobs[job]
-        self.began.setdefault(job, self.clock.now)
+        self.first_started_at.setdefault(job, self.clock.now)
         others = [(w, t) for w, t in self.on_machines() if t is not task]
         for other, other_task in others:
             if other_task.name == task.name and not other.hangs_past_lease():
@@ -178,7 +178,7 @@
                 "leg": t.name,
                 "try": t.attempt,
                 "standing": t.state,
-                **({"cause": t.why} if t.why else {}),
+                **({"cause": t.cause} if t.cause else {}),
                 **({"stored": True} if t.saved else {}),
             }
             for t in self.tasks.values()
@@ -230,7 +230,7 @@
                     self.world.gangs.stop(held, float(order.get("leeway_s") or 0.0))
                     self.changed = True
                     continue
-                held.state, held.why, self.changed = "ended", "halted", True
+                held.state, held.cause, self.changed = "ended", "halted", True
             elif order["verb"] == "forget" and held is not None and held.attempt == attempt and held.state == "ended":
                 del self.tasks[name]
 
@@ -241,7 +241,7 @@
         task = SimTask(name, attempt, "fetching", now, None)
         self.tasks[name] = task
         if spec is None:
-            task.state, task.why = "ended", "no_such"
+            task.state, task.cause = "ended", "no_such"
             return
         used = sum(
             self.world.jobs[t.name.split("/")[0]]["vcpus"]
@@ -249,7 +249,7 @@
             if t.state != "ended" and t is not task
         )
         if used + spec["vcpus"] > self.kind.cpus + 1e-6:
-            task.state, task.why = "ended", "full"
+            task.state, task.cause = "ended", "full"
             return
         task.ready_at = now + (0.0 if spec["kit"] in self.images else spec["pull_gb"])
 
@@ -279,7 +279,7 @@
             if task.state == "fetching" and now >= task.ready_at:
                 self.images.add(self.world.jobs[job]["kit"])
                 if self.fails_tasks or job in self.world.faulty:
-                    task.state, task.why, self.changed = "ended", "error", True
+                    task.state, task.cause, self.changed = "ended", "error", True
                     continue
                 self.changed = True
                 if self.world.is_gang(job):
@@ -294,12 +294,12 @@
             if task.state in ("gathering", "running") and self.world.is_gang(job):
                 self.world.check_cancelled(task)
                 self.world.gangs.step(self, task)
-                if task.why == "done":
+                if task.cause == "done":
                     self._complete(job, int(index))
             elif task.state == "running":
                 self.world.check_cancelled(task)
                 if task.ends_at is not None and now >= task.ends_at:
-                    task.state, task.why, self.changed = "ended", "done", True
+                    task.state, task.cause, self.changed = "ended", "done", True
                     self._complete(job, int(index))
 
     def _complete(self, job: str, index: int) -> None:
@@ -307,7 +307,7 @@
         done, size = self.world.done.setdefault(job, set()), self.world.jobs[job]["legs"]
         ready = set(range(size)) if self.world.is_gang(job) else {index}
         if len(done) < size == len(done | ready):
-            self.world.ended.append(job)
+            self.world.ended_jobs.append(job)
         done |= ready
 
     async def run(self) -> None:
@@ -329,7 +329,7 @@
         name, address = self.nodes[self.node]
         body = json.dumps(self.heartbeat()).encode()
         self.sent_heartbeats.append((address, body))
-        if sent_at < self.world.late_reports_until and self.world.random.random() < self.world.late_reports_share:
+        if sent_at < self.world.late_heartbeats_until and self.world.random.random() < self.world.late_heartbeats_share:
             await curio.spawn(self._deliver_late_copy, address, body, daemon=True)
         try:
             response = await self.world.wire.request(self.name, address, Request("POST", "/agent/beat", body), 4.0)
@@ -362,7 +362,7 @@
         await curio.sleep(2.0 + 1.5 * self.world.lease_s * self.world.random.random())
         handler = self.world.wire.handlers.get(address)
         if handler is not None:
-            self.world.late_reports += 1
+            self.world.late_heartbeats += 1
             await handler(Request("POST", "/agent/beat", body))
 
     async def _next_node(self) -> None:
@@ -383,14 +383,14 @@
         self.incarnation += 1
         self.lease_renewed_at, self.changed = self.world.clock.now, True
 
-    def die(self) -> None:
+    def fail(self) -> None:
         """Removes the machine with all its tasks."""
         self.up = False
         self.tasks.clear()
         self.world.wire.handlers.pop(self.addr, None)
 
 
-class FakeCloud:
+class SimCloud:
     """A simulated cloud that rents, lists and releases machines."""
 
     def __init__(self, world: World, zones: list[str], nodes: list[tuple[str, str]], lag_s: float) -> None:
@@ -398,7 +398,7 @@
         self.kinds: dict[str, MachineType] = {}
         self.rentals: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
-        self.never_up = 0
+        self.never_ready = 0
         self.calls: list[float] = []
         self._next = 1
 
@@ -408,8 +408,8 @@
         self._next += 1
         at = self.world.clock.now
         self.machines[name] = {"kind": kind, "zone": zone, "spot": spot, "at": at, "up_at": at + boot, "gone": False}
-        if self.never_up > 0:
-            self.never_up -= 1
+        if self.never_ready > 0:
+            self.never_ready -= 1
             self.machines[name]["up_at"] = 1e18
         return name
 
@@ -453,7 +453,7 @@
                     self.machines[name]["gone"] = True
                     self.machines[name].setdefault("gone_at", self.world.clock.now)
                 if name in self.world.workers:
-                    self.world.workers[name].die()
+                    self.world.workers[name].fail()
             return json_response(200, {})
         if request.method == "POST":
             return self._rent(json.loads(request.body))
--- a/tests/sim/gangs.py
+++ b/tests/sim/gangs.py
@@ -58,7 +58,7 @@
         gang, now, spec = self.attempts.get((job, task.attempt)), self.world.clock.now, self.world.jobs[job]
         saves = spec["waypoint_s"] > 0 and leeway_s >= spec["stow_s"]
         if gang is None or task.state != "running" or not saves or gang.lost_at is not None:
-            task.state, task.why = "ended", "halted"
+            task.state, task.cause = "ended", "halted"
             return
         if gang.stopped_at is None:
             self._checkpoint(gang, now)
@@ -67,7 +67,7 @@
             gang.saving.add(int(index))
 
     def step(self, worker: Worker, task: SimTask) -> None:
-        """Applies what has become due for a member: a timeout, the end of its run or of saving, a lost peer."""
+        """Applies what has become due for a member: a timeout, the end of its run or of saving, the loss of a peer."""
         now, job = self.world.clock.now, task.name.split("/")[0]
         gang = self.attempts[job, task.attempt]
         if task.state == "gathering":
@@ -89,8 +89,8 @@
         for worker, task in gang.members.values():
             is_gone = not worker.up or worker.tasks.get(task.name) is not task
             hangs = worker.hang_until - self.world.clock.now > self.peer_s
-            has_ended = task.state == "ended" and task.why != "done"
-            if (is_gone and task.why != "done") or hangs or has_ended:
+            has_ended = task.state == "ended" and task.cause != "done"
+            if (is_gone and task.cause != "done") or hangs or has_ended:
                 gang.lost_at = gang.lost_at or self.world.clock.now
         return gang.lost_at
 
@@ -99,7 +99,7 @@
         now, spec = self.world.clock.now, self.world.jobs[gang.job]
         all_saving = len(gang.saving) == spec["legs"]
         if all_saving and now >= gang.stopped_at + spec["stow_s"]:
-            if task.why is None:
+            if task.cause is None:
                 self._end(worker, task, "halted")
                 task.saved = True
                 if gang.attempt not in self.world.saved_attempts.setdefault(gang.job, set()):
@@ -121,5 +121,5 @@
             self.saved[gang.job] = max(self.saved.get(gang.job, 0.0), progress)
 
     @staticmethod
-    def _end(worker: Worker, task: SimTask, why: str) -> None:
-        task.state, task.why, worker.changed = "ended", why, True
+    def _end(worker: Worker, task: SimTask, cause: str) -> None:
+        task.state, task.cause, worker.changed = "ended", cause, True
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -1,6 +1,6 @@
-"""Real processes on loopback: controllers and an archiver, over the stand-ins of the state service, cloud and workers.
+"""Real processes of controllers and an archiver on loopback, with a simulated state service, cloud and workers.
 
-The stand-ins run in the process of the test, in real time, behind real sockets.
+The simulated services run in the process of the test, in real time, behind real sockets.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog
 from tests.sim.addresses import ReservedAddresses
 from tests.sim.clock import Clock
-from tests.sim.fleet import FakeCloud, MachineType, SimTask, Worker, World
+from tests.sim.fleet import MachineType, SimCloud, SimTask, Worker, World
 from tests.sim.store import FakeStore
 
 ROOT = Path(__file__).parent.parent.parent
 CONNECTIONS = 200
-HOSTS = 250  # numbers that the last parts of an address may have
+HOST_COUNT = 250  # values that each byte of a loopback address takes
 WORKER_PORT = 9000
-UNREACHED = 0  # in the place of a status: no connection could be opened
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+NOT_CONNECTED = 0  # in place of a status code: no connection could be opened
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 PLATFORM = """
 node = "{node}"
 area = "{area}"
@@ -64,38 +64,38 @@
 
 
 def _end_with_parent() -> None:
-    """In the new process: it is ended when the tests are, however that happens."""
+    """Has the kernel kill the calling process when its parent, the test process, ends in any way."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class RealClock:
-    """The time that the stand-ins see."""
+    """The time that the simulated services read."""
 
     @property
     def now(self) -> float:
-        """Steady."""
+        """The monotonic time in seconds."""
         return time.monotonic()
 
 
 class _Handlers(dict[str, Handler]):
-    """Whoever enters an address here is served there."""
+    """Handlers by address; LoopbackWire opens a server for each new address."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.fresh: list[str] = []
-        self.remote: dict[str, Handler] = {}  # of other processes
+        self.new_addresses: list[str] = []
+        self.remote: dict[str, Handler] = {}  # handlers that forward to other processes
 
     def get(self, address: str, default: Any = None) -> Any:
-        """The server behind an address, wherever it runs."""
+        """Returns the handler of an address, in this process or another, or `default`."""
         return super().get(address, self.remote.get(address, default))
 
     def __setitem__(self, address: str, handler: Handler) -> None:
         super().__setitem__(address, handler)
-        self.fresh.append(address)
+        self.new_addresses.append(address)
 
 
 class LoopbackWire:
-    """Connections over real sockets, in the place of the simulated ones."""
+    """Connections over real sockets, in place of the simulated network."""
 
     def __init__(self) -> None:
         self.hosts: dict[str, str] = {}
@@ -104,18 +104,18 @@
         self._servers: dict[str, Any] = {}
 
     async def run(self) -> None:
-        """Opens a server for each new address, and closes those that are gone."""
+        """Opens a server for each new address, and closes the servers of removed addresses."""
         while True:
-            while self.handlers.fresh:
-                address = self.handlers.fresh.pop()
+            while self.handlers.new_addresses:
+                address = self.handlers.new_addresses.pop()
                 if address not in self._servers:
-                    server = HttpServer(address, self._door(address), CONNECTIONS)
+                    server = HttpServer(address, self._handler_at(address), CONNECTIONS)
                     self._servers[address] = await curio.spawn(server.run, daemon=True)
             for address in [address for address in self._servers if address not in self.handlers]:
                 await self._servers.pop(address).cancel(blocking=False)
             await curio.sleep(0.02)
 
-    def _door(self, address: str) -> Handler:
+    def _handler_at(self, address: str) -> Handler:
         async def handle(request: Request) -> Response:
             handler = self.handlers.get(address)
             return await handler(request) if handler is not None else Response(503)
@@ -123,53 +123,53 @@
         return handle
 
     async def request(self, source: str, address: str, request: Request, timeout_s: float) -> Response:
-        """One request."""
+        """Sends a request and returns its response; raises NoAnswerError if there is none in time."""
         client = self._clients.setdefault(f"{source} {address}", HttpClient(address, 4))
         status, body = await client.request(request.method, request.target, request.body or None, timeout_s)
         return Response(status, body)
 
     async def close_clients(self) -> None:
-        """Closes the connections that were kept."""
+        """Closes all open client connections."""
         for client in self._clients.values():
             await client.aclose()
 
 
 class LoggingWorld(World):
-    """Workers write what they start and complete into the log of outcomes."""
+    """Simulated workers that record starts and ends of tasks in the log of outcomes."""
 
     def __init__(self, log: OutcomeLog, *args: Any) -> None:
         super().__init__(*args)
         self.outcomes = log
 
     def worker_address(self, number: int) -> str:
-        """Of this process alone: runs of the tests beside each other must not share their workers' addresses."""
-        host = f"127.{1 + os.getpid() % HOSTS}.{os.getpid() // HOSTS % HOSTS}.{1 + number % HOSTS}"
-        return f"{host}:{WORKER_PORT + number // HOSTS}"
+        """Returns an address that only this process uses, as test processes run in parallel."""
+        host = f"127.{1 + os.getpid() % HOST_COUNT}.{os.getpid() // HOST_COUNT % HOST_COUNT}.{1 + number % HOST_COUNT}"
+        return f"{host}:{WORKER_PORT + number // HOST_COUNT}"
 
     def _note(self, kind: str, task: SimTask, machine: str) -> None:
         job, index = task.name.split("/")
         self.outcomes.note(Event(self.clock.now, kind, job, int(index), machine))
 
     def check_start(self, worker: Worker, task: SimTask) -> None:
-        """Notes a start."""
+        """Checks and records a start."""
         super().check_start(worker, task)
         self._note(STARTED, task, worker.name)
 
     async def watch(self) -> None:
-        """Notes completions, and tasks that left their machine in another way."""
+        """Records tasks that complete, and tasks that leave their machine in another way."""
         on: dict[tuple[str, str, int], SimTask] = {}
         while True:
             now = {(w.name, t.name, t.attempt): t for w, t in self.on_machines()}
             for key, task in on.items():
                 if key not in now:
-                    self._note(COMPLETED if task.why == "done" else LEFT, task, key[0])
+                    self._note(COMPLETED if task.cause == "done" else LEFT, task, key[0])
             on = now
             await curio.sleep(0.005)
 
 
 @dataclass
 class LoopbackSettings:
-    """A small installation."""
+    """Settings of an installation, by default a small one."""
 
     controllers: int = 3
     machines: int = 4
@@ -178,7 +178,7 @@
     cancel_s: float = 20.0
     rps: float = 1000.0
     write_rps: float = 500.0
-    teams: dict[str, float] = field(default_factory=lambda: {"t": 200.0})  # the most CPUs of each
+    teams: dict[str, float] = field(default_factory=lambda: {"t": 200.0})  # by team: its limit in CPUs
     archive: bool = True
     seed: int = 1
     capacity: int = 40
@@ -186,7 +186,7 @@
 
 @dataclass
 class Job:
-    """A job that a user of the test submits."""
+    """A job that a simulated user submits."""
 
     ref: str
     tasks: int
@@ -199,18 +199,18 @@
 
 @dataclass
 class Measured:
-    """What one loss and its rebuilding took, in seconds from the loss."""
+    """Duration of one loss of data and its rebuild, in seconds from the loss."""
 
-    closed_s: float = 0.0  # until the first user was told to come back
+    closed_s: float = 0.0  # until the first response with status 503
     opened_s: float = 0.0  # until the next history was open
-    last_final_s: float = 0.0  # until the last final answer
+    last_final_s: float = 0.0  # until the last answer with a final state
     repeated: int = 0  # starts beyond the first
     jobs: int = 0
     machines: int = 0
 
 
 class Installation:
-    """Processes and stand-ins; at the end of its context nothing of it is left but files."""
+    """Processes and simulated services; when its context ends, only files are left."""
 
     def __init__(self, settings: LoopbackSettings, directory: Path) -> None:
         self.settings, self.directory = settings, directory
@@ -222,14 +222,14 @@
         self.addresses = ReservedAddresses()
         addresses = [self.addresses.reserve() for _ in range(3 * s.controllers + 2)]
         self.cloud_address, self.archive_address = addresses[:2]
-        self.states = addresses[2 : 2 + s.controllers]  # the state service, as each controller reaches it
+        self.state_addresses = addresses[2 : 2 + s.controllers]  # of the state service, one for each controller
         pairs = addresses[2 + s.controllers :]
         self.nodes = [(f"n{i}", pairs[2 * i]) for i in range(s.controllers)]
-        self.backs = [pairs[2 * i + 1] for i in range(s.controllers)]
+        self.back_addresses = [pairs[2 * i + 1] for i in range(s.controllers)]
         self.store = FakeStore(self.clock, Random(s.seed + 1), s.rps, s.write_rps, 16.0, 24)
         self.world = LoggingWorld(self.log, self.clock, self.wire, s.report_s, s.lease_s, s.cancel_s)
         self.world.limits = dict(s.teams)
-        self.cloud = FakeCloud(self.world, ["a", "b"], self.nodes, 0.2)
+        self.cloud = SimCloud(self.world, ["a", "b"], self.nodes, 0.2)
         kind = MachineType("small", 4.0, 16.0, 0.5, s.capacity)
         self.cloud.kinds = {"small": kind}
         for number in range(s.machines):
@@ -241,19 +241,19 @@
         self._requests_in_flight = 0
 
     def __enter__(self) -> Self:
-        """Itself."""
+        """Returns this instance."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Ends all processes, closes connections that were kept and gives the addresses back."""
+        """Ends all processes, closes open connections and releases the addresses."""
         self.stop()
         curio.run(self.close_clients)
         self.addresses.close()
 
     async def close_clients(self) -> None:
-        """Closes the connections that workers, users and stand-ins have kept."""
+        """Closes the open connections of workers, users and simulated services."""
         await self.wire.close_clients()
         await self.users.aclose()
 
@@ -271,10 +271,10 @@
             node=f"n{index}",
             area="ab"[index % 2],
             public=self.nodes[index][1],
-            back=self.backs[index],
+            back=self.back_addresses[index],
             peers=peers,
             cloud=self.cloud_address,
-            state=self.states[index],
+            state=self.state_addresses[index],
             count=s.controllers,
             teams=teams,
             report_s=s.report_s,
@@ -288,11 +288,11 @@
         return path
 
     def peer_address(self, index: int, other: int) -> str:
-        """Where one controller reaches another."""
-        return self.backs[other]
+        """Returns the address at which one controller reaches another."""
+        return self.back_addresses[other]
 
     def features(self) -> Path:
-        """The operators' settings."""
+        """Writes the operators' settings and returns the path of the file."""
         path = self.directory / "features.sexp"
         archive = f'(archive-address "{self.archive_address}")' if self.settings.archive else ""
         path.write_text(
@@ -300,14 +300,14 @@
         )
         return path
 
-    def _words(self, *words: str) -> list[str]:
-        """What Python runs."""
+    def _python_arguments(self, *words: str) -> list[str]:
+        """Returns the arguments of the Python interpreter."""
         return [str(ROOT / "run.py"), *words]
 
     def _spawn(self, name: str, *words: str) -> None:
         with (self.directory / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                [sys.executable, *self._words(*words)],
+                [sys.executable, *self._python_arguments(*words)],
                 stderr=log,
                 stdout=log,
                 stdin=subprocess.DEVNULL,
@@ -316,19 +316,19 @@
             )
 
     def start_controller(self, index: int) -> None:
-        """Starts one, or starts it again."""
+        """Starts or restarts a controller."""
         config = str(self._platform(index))
         self._spawn(f"n{index}", "serve", "--config", config, "--tuning", str(self.features()))
 
     def start_archiver(self) -> None:
-        """Starts it on the disk as it is."""
+        """Starts the archiver on its directory, with the files of a previous process."""
         config, root = str(self._platform(0)), str(self.directory / "archive")
         self._spawn(
             "archive", "archive", "run", "--config", config, "--directory", root, "--listen", self.archive_address
         )
 
     def kill(self, name: str) -> None:
-        """Ends a process without a word."""
+        """Kills a process."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
@@ -338,15 +338,15 @@
         self.processes[name].send_signal(number)
 
     def stop(self) -> None:
-        """Ends all processes."""
+        """Kills all processes."""
         for name in list(self.processes):
             self.kill(name)
 
     # Running
 
     async def serve(self) -> None:
-        """Runs the stand-ins until cancelled."""
-        for index, address in enumerate(self.states):
+        """Runs the simulated services until cancelled."""
+        for index, address in enumerate(self.state_addresses):
             self.wire.handlers[address] = self.store.handler_for(f"n{index}")
         self.wire.handlers[self.cloud_address] = self.cloud.handle
         async with curio.TaskGroup(wait=any) as group:
@@ -354,7 +354,7 @@
                 await group.spawn(task)
 
     async def operate(self, *words: str) -> str:
-        """Runs an operators' command to its end; what it printed."""
+        """Runs an operators' command and returns its output; raises AssertionError if the command fails."""
         self._spawn("operator", *words, "--config", str(self._platform(0)))
         process = self.processes["operator"]
         while process.poll() is None:
@@ -365,8 +365,8 @@
             raise AssertionError(f"{' '.join(words)}: {text}")
         return text
 
-    def describe(self, job: Job) -> bytes:
-        """The submission of a job, which workers know from then on."""
+    def register_job(self, job: Job) -> bytes:
+        """Returns the submission of a job, and registers the job with the simulated workers."""
         spec = {
             "ref": job.ref,
             "circuit": "c",
@@ -393,8 +393,8 @@
         return json.dumps(spec).encode()
 
     async def submit(self, job: Job, until: float) -> None:
-        """A user: submits until accepted, then asks until the end."""
-        body = self.describe(job)
+        """Submits a job until it is accepted, then polls its state, up to the time `until`."""
+        body = self.register_job(job)
         self.log.tasks[job.ref] = job.tasks if job.kind == "batch" else 0
         while self.clock.now < until:
             status, _ = await self._ask("POST", "/submissions", body)
@@ -414,7 +414,7 @@
             self._note(TOLD, job_id, "unknown")
 
     async def _ask(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
-        """A user's request, once users are not paused."""
+        """Sends a user's request, or waits first while users are paused."""
         while self._users_paused:
             await curio.sleep(0.05)
         self._requests_in_flight += 1
@@ -424,18 +424,18 @@
             self._requests_in_flight -= 1
 
     async def pause_users(self, limit_s: float) -> None:
-        """Users ask nothing more, and the archive holds whatever they were told."""
+        """Pauses users' requests and waits until all answers that they have received are archived."""
         self._users_paused = True
         await self.until(lambda: not self._requests_in_flight, limit_s, "answers to all requests under way")
         told_at = self.store.revision
         await self.until(lambda: self.archived_revision() >= told_at, limit_s, f"an archive up to revision {told_at}")
 
     def resume_users(self) -> None:
-        """Users go on."""
+        """Ends the pause of users' requests."""
         self._users_paused = False
 
     def archived_revision(self) -> int:
-        """Up to which revision the archive says that it holds all records; 0 if it has said nothing yet."""
+        """Returns the revision up to which the archiver has published its progress, or 0."""
         archived = self.store.keys.get(ARCHIVED)
         return int(archived[0]["revision"]) if archived is not None else 0
 
@@ -443,7 +443,7 @@
         self.log.note(Event(self.clock.now, kind, job_id, detail=detail))
 
     async def cancel(self, job_id: str, until: float) -> None:
-        """A user calls a job off, and asks until it is confirmed."""
+        """Requests the cancellation of a job until it is confirmed, up to the time `until`."""
         self._note(ASKED_TO_CANCEL, job_id)
         while self.clock.now < until:
             status, answer = await self._ask("POST", f"/submissions/{job_id}/cancel", b"{}")
@@ -453,14 +453,17 @@
             await curio.sleep(0.3)
 
     def history_number(self) -> int:
-        """Of the history that is open, as the state service has it; 0 if none is."""
+        """Returns the number of the open history in the state service, or 0 if none is open."""
         current = self.store.keys.get("history/current")
         if current is None or f"history/open/{current[0]['name']}" not in self.store.keys:
             return 0
         return int(current[0]["number"])
 
     async def until(self, condition: Callable[[], bool], limit_s: float, what: str) -> None:
-        """Waits for something, with a generous limit that only a fault reaches."""
+        """Waits for a condition; raises AssertionError after `limit_s`, or when a process has ended by itself.
+
+        The limit is meant to be so generous that only a defect reaches it.
+        """
         deadline = self.clock.now + limit_s
         while not condition():
             ended = [name for name, process in self.processes.items() if process.poll() is not None]
@@ -471,7 +474,7 @@
             await curio.sleep(0.02)
 
     def settled(self) -> bool:
-        """Every batch job has a final answer, and the last answer of every service is that it runs."""
+        """Returns whether the last answer on every batch job is final, and on every service is running or aborted."""
         told: dict[str, str] = {e.job: e.detail for e in self.log.events if e.kind == TOLD}
         return all(
             told.get(job) in (("done", "aborted") if tasks else ("running", "aborted"))
@@ -481,42 +484,43 @@
 
 @dataclass
 class HttpClients:
-    """Users behind a balancer that picks any controller."""
+    """HTTP clients of users behind a load balancer that picks a random controller."""
 
     nodes: list[tuple[str, str]]
     random: Random
     _clients: dict[str, HttpClient] = field(default_factory=dict)
-    refused: int = 0  # answers that said to come back
+    refused: int = 0  # number of responses with status 503
 
     async def ask(self, method: str, target: str, body: bytes) -> tuple[int, dict[str, Any]]:
-        """One request to some controller that can be reached."""
+        """Sends a request to a random controller that accepts a connection; returns status 504 if none does."""
         for _, address in self.random.sample(self.nodes, len(self.nodes)):
             status, answer = await self.ask_at(address, method, target, body)
-            if status != UNREACHED:
+            if status != NOT_CONNECTED:
                 return status, answer
         return 504, {}
 
     async def ask_at(self, address: str, method: str, target: str, body: bytes = b"") -> tuple[int, dict[str, Any]]:
-        """One request to one controller."""
+        """Sends a request to one controller; returns 504 for a timeout and NOT_CONNECTED without a connection."""
         client = self._clients.setdefault(address, HttpClient(address, 16))
         try:
             status, answer = await client.request(method, target, body or None, 3.0)
         except NoAnswerError as err:
-            return 504 if err.sent else UNREACHED, {}
+            return 504 if err.sent else NOT_CONNECTED, {}
         self.refused += status == 503
         return status, json.loads(answer) if answer else {}
 
     async def aclose(self) -> None:
-        """Closes the connections that were kept."""
+        """Closes all open connections."""
         for client in self._clients.values():
             await client.aclose()
 
 
 async def end_other_tasks() -> None:
-    """Cancels all tasks but this one, until none has started another one.
+    """Cancels all curio tasks except the calling one, until no new one has been started.
 
-    The oldest first: a server ends before the connections that it has accepted. Curio begins with the newest when it
-    shuts down, fails if a task starts another one meanwhile, and then leaves what the kernel holds to the collector.
+    The oldest task is cancelled first, so that a server ends before the connections that it has accepted. Curio's own
+    shutdown cancels the newest first, fails if a task starts another one meanwhile, and then leaves the kernel's
+    resources to the garbage collector.
     """
     kernel, this_task = await curio.traps._get_kernel(), await curio.current_task()
     while others := [task for task in kernel._tasks.values() if task is not this_task]:
@@ -524,16 +528,16 @@
             await task.cancel()
 
 
-def play(installation: Installation, story: Callable[[Installation], Awaitable[None]]) -> None:
-    """Runs a story over an installation, and ends every process that it started."""
+def play(installation: Installation, script: Callable[[Installation], Awaitable[None]]) -> None:
+    """Runs a coroutine function on an installation, and then ends every process that it started."""
 
     async def main() -> None:
         serving = await curio.spawn(installation.serve, daemon=True)
         await curio.sleep(0.2)
         if serving.terminated:
-            raise AssertionError("the stand-ins ended")
+            raise AssertionError("the simulated services ended")
         try:
-            await story(installation)
+            await script(installation)
         finally:
             installation.stop()
             await end_other_tasks()
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -1,7 +1,9 @@
-"""Measures what a loss and its rebuilding cost: `python -m tests.sim.measure_recovery [--seeds N] [--directory DIR]`.
+"""Measures the cost of a loss of data and its rebuild.
 
-Real processes on loopback for small fleets; for large ones the merge and the number of changes alone, since one machine
-can't run 4,000 workers. Figures depend on the machine; compare them with each other.
+Usage: `python -m tests.sim.measure_recovery [--seeds N] [--sizes MACHINESxJOBS,...]`.
+
+Small fleets run as real processes on loopback; for large fleets, only the merge and the number of changes are measured,
+since one machine can't run 4,000 workers. Figures depend on the machine and are comparable only with each other.
 """
 
 from __future__ import annotations
@@ -42,76 +44,83 @@
 
 
 @dataclass
-class Run:
-    """One loss."""
+class RecoveryRun:
+    """The measurements of one loss of data. Times are in seconds from the loss."""
 
     kind: str
     machines: int
     jobs: int
     seed: int
-    refused_s: float = 0.0  # from the loss to the first user who was told to come back
-    opened_s: float = 0.0  # from the loss to the next history
-    last_final_s: float = 0.0  # from the loss to the last final answer
-    repeated: int = 0  # starts beyond the first
+    refused_s: float = 0.0  # to the first response with status 503
+    opened_s: float = 0.0  # to the opening of the next history
+    last_final_s: float = 0.0  # to the last answer with a final state
+    repeated: int = 0  # starts of tasks beyond the first of each
     problems: list[str] = field(default_factory=list)
 
 
-def run_once(kind: str, machines: int, jobs: int, seed: int) -> Run:
-    """One loss, at a seeded moment under load."""
-    out = Run(kind, machines, jobs, seed)
+def run_once(kind: str, machines: int, jobs: int, seed: int) -> RecoveryRun:
+    """Measures one loss of data at a seeded time under load."""
+    out = RecoveryRun(kind, machines, jobs, seed)
     random = Random(seed)
     settings = LoopbackSettings(machines=machines, seed=seed, capacity=machines, teams={"t": 1e6})
 
-    async def story(it: Installation) -> None:
-        await it.operate("recovery", "init")
-        it.start_archiver()
+    async def script(installation: Installation) -> None:
+        await installation.operate("recovery", "init")
+        installation.start_archiver()
         for index in range(settings.controllers):
-            it.start_controller(index)
-        until = it.clock.now + LIMIT_S
+            installation.start_controller(index)
+        until = installation.clock.now + LIMIT_S
         for number in range(jobs):
             job = Job(f"job-{number + 1}", TASKS, 1.0 + 8.0 * random.random())
-            await curio.spawn(it.submit, job, until, daemon=True)
+            await curio.spawn(installation.submit, job, until, daemon=True)
         share = 0.2 + 0.6 * random.random()
         wanted = int(share * min(jobs * TASKS, 4 * machines))
-        await it.until(lambda: sum(e.kind == STARTED for e in it.log.events) >= wanted, LIMIT_S, "starts")
+        await installation.until(
+            lambda: sum(e.kind == STARTED for e in installation.log.events) >= wanted, LIMIT_S, "starts"
+        )
         if kind == "all ended":
             for index in range(settings.controllers):
-                it.kill(f"n{index}")
-        refused, lost_at = it.users.refused, it.clock.now
-        it.store.wipe()
+                installation.kill(f"n{index}")
+        refused, lost_at = installation.users.refused, installation.clock.now
+        installation.store.wipe()
         if kind == "all ended":
             for index in range(settings.controllers):
-                it.start_controller(index)
-        await it.until(lambda: it.users.refused > refused or it.history_number() == 2, LIMIT_S, "a refusal")
-        out.refused_s = it.clock.now - lost_at
-        await it.until(lambda: it.history_number() == 2, LIMIT_S, "history 2")
-        out.opened_s = it.clock.now - lost_at
-        await it.until(it.settled, LIMIT_S, "final answers")
-        finals = {e.job: e.at for e in reversed(it.log.events) if e.kind == TOLD and e.detail == "done"}
+                installation.start_controller(index)
+        await installation.until(
+            lambda: installation.users.refused > refused or installation.history_number() == 2, LIMIT_S, "a refusal"
+        )
+        out.refused_s = installation.clock.now - lost_at
+        await installation.until(lambda: installation.history_number() == 2, LIMIT_S, "history 2")
+        out.opened_s = installation.clock.now - lost_at
+        await installation.until(installation.settled, LIMIT_S, "final answers")
+        finals = {e.job: e.at for e in reversed(installation.log.events) if e.kind == TOLD and e.detail == "done"}
         out.last_final_s = max(finals.values()) - lost_at
         await curio.sleep(1.0)
-        out.repeated, out.problems = repeated_starts(it.log), check(it.log) + it.world.rules.broken
+        out.repeated, out.problems = (
+            repeated_starts(installation.log),
+            check(installation.log) + installation.world.rules.broken,
+        )
 
     with tempfile.TemporaryDirectory() as directory:
-        play(Installation(settings, Path(directory)), story)
+        play(Installation(settings, Path(directory)), script)
     return out
 
 
-def spec(job: str, tasks: int) -> wire.Submission:
-    """A job of a made-up history."""
+def submission(job: str, tasks: int) -> wire.Submission:
+    """Returns the submission of a synthetic job."""
     return wire.Submission(
         job, "c", "t", wire.BATCH, "high", tasks, 1.0, 0.0, 1.0, "i", 0.1, False, False, False, 5.0, 0.0, 0.0
     )
 
 
-def made_up(machines: int, finals: int) -> tuple[list[StoredRecord], list[wire.Heartbeat]]:
-    """Records and reports of a fleet with eight tasks on each machine."""
+def synthetic_fleet(machines: int, finals: int) -> tuple[list[StoredRecord], list[wire.Heartbeat]]:
+    """Returns records, `finals` of them final, and heartbeats of a synthetic fleet with eight tasks on each machine."""
     stored: list[StoredRecord] = []
     heartbeats: list[wire.Heartbeat] = []
     for number in range(machines):
         job, name = f"job-{number + 1}", f"vm-{number + 1:06d}"
         tasks = [TaskEntry(index, ASSIGNED, 1, name, 1) for index in range(8)]
-        stored.append(StoredRecord(records.JOB + job, number + 1, wire.encode(JobRecord(spec(job, 8), 1.0))))
+        stored.append(StoredRecord(records.JOB + job, number + 1, wire.encode(JobRecord(submission(job, 8), 1.0))))
         stored.append(StoredRecord(f"live/allot/a/{job}/0", number + 2, wire.encode(AllocationRecord(tasks))))
         seen = [wire.TaskStatus(f"{job}/{index}", 1, "running") for index in range(8)]
         heartbeats.append(wire.Heartbeat(name, "10.1.0.1:1", "small", "a", 1, 9, 1 << 50, seen))
@@ -123,26 +132,26 @@
 
 @dataclass
 class MergeCost:
-    """What the merge of a large fleet takes."""
+    """The cost of the merge of a large fleet."""
 
     machines: int
     finals: int
     merge_s: float
-    records: int  # that are alive
-    changes: int  # of the state service, to open with them
+    records: int  # records of unfinished jobs and their allocations
+    changes: int  # changes in the state service to open the next history
     archive_bytes: int
     snapshot_s: float
-    peak_mb: float  # of this process, with five copies
+    peak_mb: float  # of this process, with five copies of the records
 
 
 def peak_mb() -> float:
-    """The most memory that this process has held."""
+    """Returns the peak memory of this process in MB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
 
 
 def merge_cost(machines: int, finals: int, directory: Path) -> MergeCost:
-    """Five copies and all reports of a fleet, in this process."""
-    stored, heartbeats = made_up(machines, finals)
+    """Measures the merge of five copies of the records and all heartbeats of a fleet."""
+    stored, heartbeats = synthetic_fleet(machines, finals)
     sources = []
     for number in range(5):
         kind = SourceKind.ARCHIVE if number == 0 else SourceKind.REPLICA
@@ -153,24 +162,24 @@
     began = time.perf_counter()
     rebuilt = merge(Evidence(sources, {r.machine: r for r in heartbeats}, True), 100)
     merge_s = time.perf_counter() - began
-    alive = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in rebuilt.jobs.items()]
-    alive += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in rebuilt.allocations.items()]
-    changes = len(pack(alive, 24, 16384)) + -(-finals * 120 // 16384)
-    point = ArchivedState(f"m{machines}-{finals}", 1, machines + finals)
+    unfinished = [SeedRecord(records.JOB + job, msgspec.Raw(wire.encode(found))) for job, found in rebuilt.jobs.items()]
+    unfinished += [SeedRecord(str(w), msgspec.Raw(wire.encode(found))) for w, found in rebuilt.allocations.items()]
+    changes = len(pack(unfinished, 24, 16384)) + -(-finals * 120 // 16384)
+    archived = ArchivedState(f"m{machines}-{finals}", 1, machines + finals)
     for record in stored:
-        point.apply(Entry(record.version, record.key, record.value))
+        archived.apply(Entry(record.version, record.key, record.value))
     began = time.perf_counter()
-    path = write_snapshot(directory, point)
+    path = write_snapshot(directory, archived)
     return MergeCost(
-        machines, finals, merge_s, len(alive), changes, path.stat().st_size, time.perf_counter() - began, peak_mb()
+        machines, finals, merge_s, len(unfinished), changes, path.stat().st_size, time.perf_counter() - began, peak_mb()
     )
 
 
 def log_cost(directory: Path) -> dict[str, float]:
-    """What a batch of changes takes on disk, its sync included."""
-    point = ArchivedState("log", 1, 1)
-    write_snapshot(directory, point)
-    log, times = ChangeLog(directory, point), []
+    """Measures size and latency of a batch of changes in the log on disk, with its sync."""
+    archived = ArchivedState("log", 1, 1)
+    write_snapshot(directory, archived)
+    log, times = ChangeLog(directory, archived), []
     value = wire.encode(AllocationRecord([TaskEntry(i, ASSIGNED, 1, f"vm-{i:06d}", 1) for i in range(25)]))
     before = log.bytes
     for number in range(200):
@@ -188,7 +197,7 @@
     }
 
 
-DAY = """
+SCENARIO_TEXT = """
 team t max=200
 tuning consolidation_cap=0 imbalance_weight=0 idle_return_s=1000
 type small cpus=4 boot=5
@@ -197,10 +206,10 @@
 """
 
 
-def forget_cost(kind: str) -> dict[str, object]:
-    """What waiting for the archive adds to heartbeats and changes, with 60 arrays of 4 tasks in a minute."""
+def archive_wait_cost(kind: str) -> dict[str, object]:
+    """Measures how waiting for the archive adds to heartbeats and changes, with 60 arrays of 4 tasks in a minute."""
     jobs = "".join(f"at {2 + n} submit job-{n + 1} tasks=4 run=3,5,7\n" for n in range(60))
-    scenario = Scenario.parse(DAY + jobs + "end 90\n", {})
+    scenario = Scenario.parse(SCENARIO_TEXT + jobs + "end 90\n", {})
     played = RecoveryPlay(scenario) if kind != "off" else Play(scenario)
     if kind == "waits for nothing":
         played.tuning.archive_timeout_s = 1e-6
@@ -219,10 +228,12 @@
     }
 
 
-def answer_cost(archived: bool) -> dict[str, object]:
-    """How long users wait for answers before and after the archive, in virtual time, by the same day."""
+def answer_wait(archived: bool) -> dict[str, object]:
+    """Measures how long users wait for answers, archived or not, in virtual time and with the same jobs."""
     jobs = "".join(f"at {2 + n} submit job-{n + 1} tasks=4 run=3,5,7\n" for n in range(60))
-    played = RecoveryPlay(Scenario.parse(("answers archived\n" if archived else "") + DAY + jobs + "end 90\n", {}))
+    played = RecoveryPlay(
+        Scenario.parse(("answers archived\n" if archived else "") + SCENARIO_TEXT + jobs + "end 90\n", {})
+    )
     waits: dict[str, list[float]] = {"POST": [], "GET": []}
     ask = played._ask
 
@@ -246,25 +257,25 @@
 
 
 def main() -> None:
-    """Runs everything and prints a line of JSON for each."""
+    """Runs all measurements and prints a line of JSON for each."""
     parser = argparse.ArgumentParser(description="Measures recovery on loopback.")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--sizes", default="8x20,24x60,60x150", help="machines x jobs, comma-separated")
     args = parser.parse_args()
-    show: Callable[[object], None] = lambda found: print(json.dumps(found), flush=True)  # noqa: E731
+    print_json: Callable[[object], None] = lambda found: print(json.dumps(found), flush=True)  # noqa: E731
     with tempfile.TemporaryDirectory() as directory:
         for machines, finals in ((400, 10_000), (4000, 10_000), (4000, 100_000)):
-            show(asdict(merge_cost(machines, finals, Path(directory))))
-        show(log_cost(Path(directory)))
+            print_json(asdict(merge_cost(machines, finals, Path(directory))))
+        print_json(log_cost(Path(directory)))
     for kind in ("off", "waits for nothing", "on"):
-        show(forget_cost(kind))
+        print_json(archive_wait_cost(kind))
     for archived in (False, True):
-        show(answer_cost(archived))
+        print_json(answer_wait(archived))
     for size in args.sizes.split(","):
         machines, jobs = map(int, size.split("x"))
         for kind in ("all lived on", "all ended"):
             for seed in range(1, args.seeds + 1):
-                show(asdict(run_once(kind, machines, jobs, seed)))
+                print_json(asdict(run_once(kind, machines, jobs, seed)))
 
 
 if __name__ == "__main__":
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class LinkFault:
-    """A fault between two hosts until a given time; `*` stands for any host.
+    """A fault between two hosts until a given time; `*` is any host.
 
     Modes: `drop` drops requests in both directions; `hold` delivers them when the fault ends; with `deaf`, requests of
     `a` arrive, but responses and requests to it are dropped; with `mute`, requests of `a` are dropped, while requests
--- a/tests/sim/random_days.py
+++ b/tests/sim/random_days.py
@@ -1,4 +1,4 @@
-"""Plays randomly drawn scenarios ("days"): a few fixed ones in every test run, or a number of new ones on request."""
+"""Plays randomly drawn scenarios ("days"): a few fixed ones in every test run, or new ones on request."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
     return max(at + float(options(words).get("for", 0)) for at, words in scenario.actions)
 
 
-def play_days(days: st.SearchStrategy[str], play: Callable[[str], list[str]], part: int, few: int, more: int) -> None:
+def play_days(
+    days: st.SearchStrategy[str], play: Callable[[str], list[str]], group: int, fixed_count: int, new_count: int
+) -> None:
     """Plays days and fails with the text of one that has problems.
 
-    Plays the `few` days of the seed `part`, or `more` new ones, shrunk when one fails, if `more` is not 0.
+    Plays `fixed_count` days, drawn with `group` as the seed. If `new_count` is not 0, plays that many new days instead,
+    and shrinks one that fails.
     """
 
     @settings(
-        max_examples=more or few,
+        max_examples=new_count or fixed_count,
         deadline=None,
         database=None,
         print_blob=False,
-        phases=[Phase.generate, Phase.shrink] if more else [Phase.generate],
+        phases=[Phase.generate, Phase.shrink] if new_count else [Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
     @given(days)
-    def one(text: str) -> None:
+    def play_day(text: str) -> None:
         assert play(text) == [], text
 
-    (one if more else seed(part)(one))()
+    (play_day if new_count else seed(group)(play_day))()
--- a/tests/sim/relay.py
+++ b/tests/sim/relay.py
@@ -21,7 +21,7 @@
 
     def __init__(self, address: str, target: str) -> None:
         self.address, self._target = address, sockets.split_address(target)
-        self.held = False  # whether data is held back; it is sent when this is False again
+        self.held = False  # whether data is kept until this is False again
         self.refused = False  # whether connections are closed at once
 
     async def run(self) -> None:
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -24,7 +24,10 @@
 Actions; `for=` and `by=` are in seconds, NODE is a controller, HOST is a controller, a machine, `store` or `cloud`:
 
     submit JOB [NAME=VALUE...] [node=NODE]   a user submits a job until it is accepted or refused, then polls its state;
-                                             a name without a value is ignored: `together=1`, not `together`
+                                             names: team, kind (batch, daemon, gang), priority, tasks, cpus, memory,
+                                             image, fetch (GB, at 1 GB/s), type, zone, estimate, checkpoint, save, run
+                                             (seconds, of the tasks in turn), and the flags together, spread, spot,
+                                             faulty; a flag without a value is ignored: `spread=1`, not `spread`
     cancel JOB [node=NODE]                   a user requests a cancellation until it is confirmed
     cancel-at-end for=                       jobs whose last task ends during this time are cancelled at that moment
     again JOB STATUS [node=NODE]             a user repeats a submission; STATUS, 503 or 504 is expected
@@ -95,12 +98,12 @@
 from spurarch.transport.http import NoAnswerError, Request
 from tests.sim import scenario_checks
 from tests.sim.clock import Clock
-from tests.sim.fleet import FakeCloud, MachineType, World
+from tests.sim.fleet import MachineType, SimCloud, World
 from tests.sim.net import LinkFault, SimNetwork, Wire
 from tests.sim.scenario_text import Scenario, options
 from tests.sim.store import FakeStore
 
-MAX_UNANSWERED_S = 75.0
+MAX_UNANSWERED_S = 75.0  # of status requests for a job, not counting injected faults
 STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
 
 # Attributes by the name of the setting, with underscores for hyphens.
@@ -127,11 +130,11 @@
         self.controllers: dict[str, Controller] = {}
         self.started: list[Controller] = []  # all that were ever started, in order
         self.networks: dict[str, SimNetwork] = {}
-        self.told: dict[str, list[str]] = {}  # by job: answers that its users have received, in order
+        self.told: dict[str, list[str]] = {}  # by job: answers to its user; by "JOB asked": cancelled
         self.problems: list[str] = []
         self.answers: list[int] = []  # status codes of submissions
         self.answered_at: dict[str, float] = {}  # by job: time of the latest answer to a status request
-        self.faults_end_at = 0.0
+        self.faults_end_at = 0.0  # when the latest injected fault ends
         self.leaders_ended = 0
         machines: list[list[str]] = []
         kinds: list[MachineType] = []
@@ -144,7 +147,7 @@
             self.clock, self.wire, self.limits["report_s"], self.limits["lease_s"], self.limits["cancel_s"]
         )
         self.world.limits = {t.name: t.quota_cpus for t in self.teams}
-        self.cloud = FakeCloud(self.world, self.zones, self.nodes, 5.0)
+        self.cloud = SimCloud(self.world, self.zones, self.nodes, 5.0)
         self.cloud.kinds = {k.name: k for k in kinds}
         self.machines = machines
         self.wire.hosts |= {STATE: "store", CLOUD: "cloud"} | {addr: node for node, addr in self.nodes}
@@ -324,8 +327,8 @@
         elif action == "late-writes":
             self.store.late_until, self.store.late_share = now + float(opts["for"]), float(opts["share"])
         elif action == "late-reports":
-            self.world.late_reports_until = now + float(opts["for"])
-            self.world.late_reports_share = float(opts["share"])
+            self.world.late_heartbeats_until = now + float(opts["for"])
+            self.world.late_heartbeats_share = float(opts["share"])
         elif action == "mute":
             self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "mute"))
         elif action == "cancel-at-end":
@@ -335,7 +338,7 @@
         elif action == "lose-answers":
             self.store.lose_answers_until = now + float(opts["for"])
         elif action == "die":
-            self.world.workers[args[0]].die()
+            self.world.workers[args[0]].fail()
         elif action == "deafen":
             self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "deaf"))
         elif action == "copies":
@@ -363,7 +366,7 @@
         elif action == "raw":
             await curio.spawn(self._send_raw_request, args, daemon=True)
         elif action == "never-up":
-            self.cloud.never_up = int(args[0])
+            self.cloud.never_ready = int(args[0])
         elif action == "sure":
             if not self._condition_holds(args):
                 self.problems.append(f"the meeting did not take place: {' '.join(args)} at {now - 1000:.2f}")
@@ -394,15 +397,15 @@
         return 504, {}
 
     def _check_answer(self, job_id: str, state: str) -> None:
-        told = self.told.setdefault(job_id, [])
-        final = [s for s in told if s in ("done", "aborted")]
+        answers = self.told.setdefault(job_id, [])
+        final = [s for s in answers if s in ("done", "aborted")]
         if final and state != final[0]:
             self.problems.append(f"went_back: {job_id} was {final[0]}, now {state}")
         if state == "done" and len(self.world.done.get(job_id, set())) < self.world.jobs[job_id]["legs"]:
             self.problems.append(f"not_done: {job_id}")
         if state == "aborted" and job_id not in self.world.cancelled_at and not self.told.get(job_id + " asked"):
             self.problems.append(f"went_back: {job_id} was never cancelled")
-        told.append(state)
+        answers.append(state)
 
     async def _run_user(self, job_id: str, opts: dict[str, str]) -> None:
         spec = {
@@ -466,11 +469,11 @@
             await curio.sleep(1.0)
 
     async def _cancel_ended_jobs(self, until: float) -> None:
-        self.world.ended.clear()
+        self.world.ended_jobs.clear()
         while self.clock.now < until:
             await curio.sleep(0.01)
-            while self.world.ended:
-                await curio.spawn(self._cancel, self.world.ended.pop(), None, daemon=True)
+            while self.world.ended_jobs:
+                await curio.spawn(self._cancel, self.world.ended_jobs.pop(), None, daemon=True)
 
     async def _repeat_submission(self, job_id: str, expected: int, node: str | None) -> None:
         """Repeats a submission. 503 and 504 are accepted too; a state must be consistent with earlier answers."""
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -145,14 +145,14 @@
         found = [t for _, t in play.world.on_machines() if t.name.startswith(args[0] + "/")]
         return len(found) == int(args[1])
     if kind == "begun":
-        began = play.world.began.get(args[0], float("inf"))
+        began = play.world.first_started_at.get(args[0], float("inf"))
         return began - play.world.submitted[args[0]] <= float(args[1])
     if kind == "session":
         return play.world.workers[args[0]].incarnation == int(args[1])
     if kind == "late-writes":
         return play.store.late_applied >= int(args[0]) and play.store.late_refused >= int(args[1])
     if kind == "late-reports":
-        return play.world.late_reports >= int(args[0])
+        return play.world.late_heartbeats >= int(args[0])
     if kind == "leaders":
         return play.leaders_ended == int(args[0])
     if kind == "repeated":
--- a/tests/sim/soak_plan.py
+++ b/tests/sim/soak_plan.py
@@ -1,4 +1,4 @@
-"""What happens in a soak run: jobs and troubles by seed. Pure, so that a failing seed can be played again."""
+"""Draws the jobs and faults of a soak run from a seed, deterministically, so that a failing seed can be repeated."""
 
 from __future__ import annotations
 
@@ -34,24 +34,24 @@
     "leaders-in-series",
 )
 SIZES = ("small", "large")
-SPAN_S = {"small": 36.0, "large": 45.0}  # in which jobs come and troubles begin
-FIRST_TROUBLE_S = 5.0
+SPAN_S = {"small": 36.0, "large": 45.0}  # time in which jobs are submitted and faults begin
+FIRST_FAULT_S = 5.0
 TASK_CPUS = (0.3, 0.7, 1.0, 1.1, 2.0)
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """One trouble."""
+class InjectedFault:
+    """A fault that the soak injects."""
 
     at_s: float
     kind: str
     for_s: float
-    choice: float  # of whom or what it hits, as a share of the candidates
+    choice: float  # selects what is affected, as a position from 0 to 1 in the list of candidates
 
 
 @dataclass(frozen=True)
 class PlannedJob:
-    """A job, when it comes, and when its user calls it off."""
+    """A job with the times at which its user submits it, cancels it and repeats its submission."""
 
     at_s: float
     job: Job
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """A whole run."""
+    """The plan of a run."""
 
     seed: int
     size: str
     settings: LoopbackSettings
     jobs: list[PlannedJob]
-    troubles: list[Trouble]
+    troubles: list[InjectedFault]
 
 
 def settings_of(seed: int, size: str) -> LoopbackSettings:
-    """The installation of a run."""
+    """Returns the settings of the installation for a run."""
     if size == "small":
         return LoopbackSettings(
             controllers=3 + seed % 2,
@@ -102,7 +102,7 @@
 
 
 def make_plan(seed: int, size: str, only: tuple[str, ...] = TROUBLES) -> SoakPlan:
-    """The run of a seed."""
+    """Returns the plan of a seed, with faults of the kinds in `only`; raises ValueError for an unknown argument."""
     if size not in SIZES:
         raise ValueError(f"unknown size {size!r}: one of {', '.join(SIZES)}")
     for kind in only:
@@ -122,18 +122,18 @@
         )
         for n, p in enumerate(sorted(jobs, key=lambda planned: planned.at_s))
     ]
-    return SoakPlan(seed, size, settings, jobs, _troubles(random, SPAN_S[size], only))
+    return SoakPlan(seed, size, settings, jobs, _draw_faults(random, SPAN_S[size], only))
 
 
 def _jobs_of(team: str, limit: float, random: Random, span_s: float) -> list[PlannedJob]:
-    """Jobs that ask for more than the team's limit all the time."""
+    """Draws jobs that request more than the team's limit over the whole time."""
     out: list[PlannedJob] = []
-    asked, wanted = 0.0, 1.2 * limit * span_s
-    while asked < wanted:
+    requested_cpu_s, target_cpu_s = 0.0, 1.2 * limit * span_s
+    while requested_cpu_s < target_cpu_s:
         kind = random.choices(["batch", "gang", "daemon"], [5, 2, 2])[0]
         cpus = random.choice(TASK_CPUS)
-        most = max(2, int(limit / cpus / (1 if kind == "batch" else 3)))
-        tasks = min(random.randint(1, most), 60)
+        max_tasks = max(2, int(limit / cpus / (1 if kind == "batch" else 3)))
+        tasks = min(random.randint(1, max_tasks), 60)
         run_s = random.uniform(1.5, 6.0)
         cancelled = kind == "daemon" or random.random() < 0.2
         after_s = random.uniform(0.2, 12.0) if cancelled else None
@@ -141,18 +141,18 @@
         priority = "production" if kind == "daemon" else random.choice(["high", "normal"])
         job = Job("", tasks, run_s, kind, cpus, team, priority)
         out.append(PlannedJob(random.uniform(0.0, span_s), job, after_s, repeat_s))
-        asked += tasks * cpus * (after_s or run_s)
+        requested_cpu_s += tasks * cpus * (after_s or run_s)
     return out
 
 
-def _troubles(random: Random, span_s: float, only: tuple[str, ...]) -> list[Trouble]:
-    """Two or three at a time, that overlap."""
-    out: list[Trouble] = []
-    at_s = FIRST_TROUBLE_S
+def _draw_faults(random: Random, span_s: float, only: tuple[str, ...]) -> list[InjectedFault]:
+    """Draws groups of two or three overlapping faults."""
+    out: list[InjectedFault] = []
+    at_s = FIRST_FAULT_S
     while at_s < span_s - 4.0:
         for _ in range(random.choice([2, 2, 3])):
             kind = random.choice(only)
             for_s = random.choice([0.2, 0.5, 1.5, 4.0, 7.0, 9.0])
-            out.append(Trouble(at_s + random.uniform(0.0, 2.0), kind, for_s, random.random()))
+            out.append(InjectedFault(at_s + random.uniform(0.0, 2.0), kind, for_s, random.random()))
         at_s += random.uniform(5.0, 10.0)
-    return sorted(out, key=lambda trouble: trouble.at_s)
+    return sorted(out, key=lambda fault: fault.at_s)
