--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -1,8 +1,9 @@
-"""Only one controller rebuilds at a time: a claim in the state service, with a heartbeat.
+"""The claim in the state service that lets only one controller rebuild records at a time.
 
-Time decides when another controller takes over, versions decide whether that is safe: every transaction of a rebuild
-has the version of the claim and a key named after the rebuild as conditions. Leases of the state service are of no use
-here, since their numbers start again in a service that was wiped.
+The holder renews the claim with every transaction. Another controller may acquire it after a timeout. Since that alone
+doesn't exclude a late transaction of the previous holder, every transaction of a rebuild has the version of the claim
+and, once the lost history is sealed, that of the rebuild's own key as guards. Leases of the state service can't be used
+instead, because a wiped service reuses lease numbers.
 """
 
 from __future__ import annotations
@@ -20,50 +21,59 @@
 from spurarch.storage.store import Store
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
-HEARTBEAT_S = 1.0
-FINISHED = "opened"  # the step of a rebuild that has ended
-EXPIRED_AFTER_S = 5.0  # several heartbeats: a claim that does not change for so long may be taken over
+HEARTBEAT_INTERVAL_S = 1.0
+FINISHED = "opened"  # value of `ClaimRecord.step` after a completed rebuild
+CLAIM_TIMEOUT_S = 5.0  # an unchanged claim expires after several missed heartbeats
 
 
 class ClaimRecord(Struct):
-    """Which controller rebuilds. `epoch` is 0 until it is chosen; `step` is only shown to operators."""
+    """The controller that rebuilds the records, and its progress.
+
+    Attributes:
+        node: Controller that holds the claim.
+        process_incarnation: Incarnation of its process.
+        name: Name of the history that the rebuild will open.
+        heartbeat_number: Number of transactions of the rebuild so far, including the one that acquired the claim.
+        epoch: Partition epoch of the new history; 0 until it is chosen.
+        step: Step of the rebuild. `FINISHED` frees the claim, other values are only shown to operators.
+    """
 
     node: str
     process_incarnation: str = field(name="boot")
-    name: str  # of the next history
+    name: str
     heartbeat_number: int = field(name="beat")
     epoch: int = 0
     step: str = ""
 
 
 class ClaimLostError(SpurarchError):
-    """Another controller rebuilds, or the state service lost its data once more."""
+    """This process no longer holds the claim: another controller acquired it, or the state service lost it."""
 
 
 _decoder = msgspec.json.Decoder(ClaimRecord)
 
 
 class RebuildClaim:
-    """The claim, as one controller sees it."""
+    """One controller's view of the claim, and the transactions that it makes as the holder."""
 
     def __init__(self, store: Store, node: str, process_incarnation: str) -> None:
         self._store, self._node, self._process_incarnation = store, node, process_incarnation
-        self.record: ClaimRecord | None = None  # of the controller that has the claim
+        self.record: ClaimRecord | None = None  # as last read or written; None if there is no readable claim
         self._version = 0
         self._unchanged_since = 0.0
 
     @property
-    def mine(self) -> bool:
-        """Whether this process has the claim."""
+    def is_own(self) -> bool:
+        """Whether this process holds the claim, by the last read or write."""
         return self.record is not None and self.record.process_incarnation == self._process_incarnation
 
     @property
     def version(self) -> int:
-        """The revision of the claim's last change."""
+        """The revision of the last known change of the claim; 0 if there is no claim."""
         return self._version
 
     async def read(self) -> None:
-        """Reads the claim. Raises `StoreUnavailableError`."""
+        """Reads the claim from the state service; raises `StoreUnavailableError`."""
         item = await self._store.get(CLAIM)
         version = item.version if item is not None else 0
         if version != self._version or self.record is None:
@@ -71,32 +81,36 @@
         try:
             self.record = _decoder.decode(item.value) if item is not None else None
         except msgspec.DecodeError:
-            self.record = None  # unreadable: it may be overwritten
+            self.record = None  # an unreadable claim may be overwritten
 
     async def acquire(self, name: str) -> bool:
-        """Acquires the claim if it is free or has expired, by the last `read`; False if another controller has it.
+        """Acquires the claim for a rebuild with this name; returns whether this process now holds it.
+
+        Succeeds if, by the last `read`, the claim was free, expired or held by this process, and has not changed since.
+        Call `read` before reading which history is open. A rebuild of another controller that ends between these reads
+        changes the claim, so this call fails and the history that was just opened is not treated as the lost one.
 
-        That read has to come before the one that shows which history is open: a rebuild that ends between the two
-        changes the claim, and its history must not be taken for the lost one.
+        Raises `StoreUnavailableError`.
         """
-        expired = time.monotonic() - self._unchanged_since > EXPIRED_AFTER_S
+        expired = time.monotonic() - self._unchanged_since > CLAIM_TIMEOUT_S
         free = self.record is None or self.record.step == FINISHED
-        if not free and not self.mine and not expired:
+        if not free and not self.is_own and not expired:
             return False
         record = ClaimRecord(self._node, self._process_incarnation, name, 1, 0, "sealing")
-        return (await self._write(record, [], [])).status is TransactionStatus.COMMITTED
+        return (await self._execute(record, [], [])).status is TransactionStatus.COMMITTED
 
     async def commit(
         self, guards: list[wire.Guard], changes: list[wire.Put | wire.Delete], step: str, epoch: int | None = None
     ) -> None:
-        """Makes changes while this process has the claim.
+        """Commits changes under the given guards, on condition that this process still holds the claim.
 
-        Raises `ClaimLostError`, or `StoreUnavailableError` if certainly nothing was changed.
+        The same transaction renews the claim and sets its step and, unless None, its epoch. Raises `ClaimLostError`,
+        or `StoreUnavailableError` if the state service executed nothing or can't be read after a lost response.
         """
         record = self.record
         if record is None or record.process_incarnation != self._process_incarnation:
-            raise ClaimLostError("the claim is not ours")
-        after = ClaimRecord(
+            raise ClaimLostError("this process does not hold the rebuild claim; the rebuild has to start again")
+        new_record = ClaimRecord(
             self._node,
             self._process_incarnation,
             record.name,
@@ -104,17 +118,21 @@
             record.epoch if epoch is None else epoch,
             step,
         )
-        result = await self._write(after, guards, changes)
+        result = await self._execute(new_record, guards, changes)
         if result.status is TransactionStatus.NOT_EXECUTED:
-            raise StoreUnavailableError("the state service refused a change of the rebuilding")
+            raise StoreUnavailableError(
+                "the state service did not execute a transaction of the rebuild; the rebuild has to start again"
+            )
         if result.status is not TransactionStatus.COMMITTED:
-            raise ClaimLostError(f"{result.status.value} {result.failed_keys}")
+            raise ClaimLostError(
+                f"{result.status.value}: rebuild transaction not committed; failed guards: {result.failed_keys}"
+            )
 
-    async def _write(
+    async def _execute(
         self, record: ClaimRecord, guards: list[wire.Guard], changes: list[wire.Put | wire.Delete]
     ) -> TransactionResult:
-        own = wire.Guard(CLAIM, self._version)
-        txn = wire.Txn([own, *guards], [wire.Put(CLAIM, record), *changes])
+        claim_guard = wire.Guard(CLAIM, self._version)
+        txn = wire.Txn([claim_guard, *guards], [wire.Put(CLAIM, record), *changes])
         result = await self._store.txn(txn, Urgency.MEMBERSHIP)
         if result.status is TransactionStatus.UNKNOWN:
             result = await self._resolve_unknown(record, result)
@@ -123,10 +141,10 @@
         return result
 
     async def _resolve_unknown(self, record: ClaimRecord, result: TransactionResult) -> TransactionResult:
-        """Finds out whether a transaction with a lost response was executed: then the claim that it wrote is there.
+        """Checks whether a transaction without a response was executed, by whether the claim has the value it wrote.
 
-        If it is not, it may still be executed later. The next transaction's conditions then fail, and the claim is
-        lost.
+        Returns `result` unchanged if not. The transaction may then still be executed later: it changes the version of
+        the claim, so the guards of this controller's next transaction fail and `commit` raises `ClaimLostError`.
         """
         item = await self._store.get(CLAIM)
         if item is not None and _decoder.decode(item.value) == record:
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -1,4 +1,4 @@
-"""Copies of a lost history: from this controller's memory, from peers, from the archive and from the state service."""
+"""Reads copies of a lost history from this controller's memory, from peers, the archive and the state service."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from spurarch.transport.http import NoAnswerError
 from spurarch.transport.network import Calls, Requests
 
-PAGE_RECORDS = 500
-PAGE_BYTES = 400_000
-CALL_S = 3.0
+MAX_PAGE_RECORDS = 500
+MAX_PAGE_BYTES = 400_000
+CALL_TIMEOUT_S = 3.0
 ARCHIVE_PAGE = 1000
 
 
 class ArchiveHead(Struct):
-    """What an archive server has: the newest revision of a history; None while it has none."""
+    """The newest history of an archive server, with its archived revision; `history` is None if it has none."""
 
     history: HistoryRecord | None
     revision: int
@@ -35,7 +35,7 @@
 
 
 class ArchivePage(Struct):
-    """Records of the archive at one revision; `position` is that of the next page, 0 after the last."""
+    """A page of the archive's records at one revision; `position` is that of the next page, 0 after the last."""
 
     revision: int
     records: list[StoredRecord]
@@ -48,11 +48,11 @@
 
 
 class PeerOutdatedError(SpurarchError):
-    """A controller runs a version without recovery; the message is its name."""
+    """A controller runs a version without recovery; the message is the controller's name."""
 
 
 def stored_records(state: ClusterState) -> list[StoredRecord]:
-    """Encodes all records of a copy in memory, as they are passed on."""
+    """Encodes all records of a copy in memory, except for member and leader records, for transfer to a controller."""
     out = [
         StoredRecord(key, entry.version, wire.encode(entry.record))
         for key, entry in state.entries.items()
@@ -63,27 +63,27 @@
 
 
 class RecordsPage(NamedTuple):
-    """A part of a copy, and the position of the next part; 0 after the last."""
+    """A page of a copy; `position` is that of the next page, 0 after the last."""
 
     records: list[StoredRecord]
     position: int
 
 
 def page_of(stored: list[StoredRecord], position: int) -> RecordsPage:
-    """Cuts a page out of a copy: records from a position on, as many as fit into a frame."""
+    """Returns the records from a position on, at most as many as fit into a page."""
     out: list[StoredRecord] = []
     size = 0
-    for record in stored[position : position + PAGE_RECORDS]:
-        if out and size + len(record.value) > PAGE_BYTES:
+    for record in stored[position : position + MAX_PAGE_RECORDS]:
+        if out and size + len(record.value) > MAX_PAGE_BYTES:
             break
         out.append(record)
         size += len(record.value)
-    following = position + len(out)
-    return RecordsPage(out, following if following < len(stored) else 0)
+    next_position = position + len(out)
+    return RecordsPage(out, next_position if next_position < len(stored) else 0)
 
 
 def memory_source(node: str, state: ClusterState, since: int) -> Source:
-    """This controller's own copy, which has missed no change after the revision `since`."""
+    """Returns this controller's own copy, which has missed no change after the revision `since`."""
     source = Source(SourceKind.REPLICA, node, since, state.revision)
     for record in stored_records(state):
         source.add(record)
@@ -92,18 +92,21 @@
 
 @dataclass(slots=True)
 class PeerCopy:
-    """A peer's copy, if it has one. Unless `final`, it has not answered or may still change its copy."""
+    """A peer's copy, if it has one.
 
-    final: bool
+    `is_final` is False if the peer did not answer completely or may still change its copy.
+    """
+
+    is_final: bool
     source: Source | None = None
 
 
 async def peer_copy(node: str, peer: Calls, sender: str, history: str) -> PeerCopy:
-    """Asks a peer for its copy of a history. Raises `PeerOutdatedError`."""
+    """Requests a peer's copy of a history page by page; raises `PeerOutdatedError`."""
     source: Source | None = None
     position = 0
     while True:
-        answer = await peer.call(recovery_messages.encode(EvidenceRequest(sender, history, position)), CALL_S)
+        answer = await peer.call(recovery_messages.encode(EvidenceRequest(sender, history, position)), CALL_TIMEOUT_S)
         if answer is None:
             return PeerCopy(False)
         page = recovery_messages.decode(answer)
@@ -121,7 +124,7 @@
 
 
 async def archive_head(client: Requests, timeout_s: float) -> ArchiveHead | None:
-    """What an archive server has; None if it does not answer within `timeout_s`."""
+    """Returns the newest history of an archive server; None if it gives no usable answer within `timeout_s`."""
     try:
         status, body = await client.request("GET", PATH_HEAD, None, timeout_s)
         return _head_decoder.decode(body) if status == 200 else None
@@ -130,13 +133,13 @@
 
 
 async def archive_source(client: Requests, history: str, kind: SourceKind = SourceKind.ARCHIVE) -> Source | None:
-    """The archive of a history; None if it can't be read completely."""
+    """Reads the archive of a history page by page; returns None if it can't be read completely at one revision."""
     source: Source | None = None
     position = 0
     while True:
         target = f"{PATH_RECORDS}?history={history}&position={position}"
         try:
-            status, body = await client.request("GET", target, None, CALL_S)
+            status, body = await client.request("GET", target, None, CALL_TIMEOUT_S)
             page = _page_decoder.decode(body) if status == 200 else None
         except (NoAnswerError, msgspec.DecodeError):
             return None
@@ -152,7 +155,7 @@
 
 
 async def remaining_source(store: Store, history: HistoryRecord) -> Source:
-    """What the state service still holds of a history, whose marker must be gone."""
+    """Reads the records of a sealed history that are still in the state service; raises `StoreUnavailableError`."""
     source = Source(SourceKind.REMAINS, "state service", 0, 0)
     for prefix in (records.LIVE, records.FINAL, PACKED, SEED):
         after: str | None = None
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -1,8 +1,9 @@
-"""Answers and collects workers' heartbeats while a history is closed.
+"""Answers and collects workers' heartbeats while the history is closed.
 
-A response carries the first fencing token of an epoch above all epochs ever given, and stops cancelled tasks. A worker
-that shows this token has received the response: it ignores whatever an earlier owner still sends, and keeps its
-attempts. Its lease is renewed only while no cancellation can have been missed for too long, or if nothing runs on it.
+A response carries the first fencing token of an epoch above all epochs ever assigned, and commands that stop cancelled
+tasks. A worker that reports this token has received the response: it ignores commands of earlier partition owners, and
+keeps its attempts. A response also renews the worker's lease. It is therefore sent only if this controller can't have
+missed a cancellation for too long, or if no task runs on the worker.
 """
 
 from __future__ import annotations
@@ -15,69 +16,79 @@
 from spurarch.protocol.recovery_messages import HeartbeatsPage
 from spurarch.transport.http_messages import Response, error_response
 
-PAGE_HEARTBEATS = 200
+MAX_PAGE_HEARTBEATS = 200
 
 
 class HeartbeatCollector:
-    """Heartbeats that this controller received: the newest of each worker, in the order of arrival.
+    """Heartbeats with the rebuild's token that this controller received: the newest of each worker, by arrival.
 
-    `may_answer` says whether leases may be renewed at a time of the monotonic clock, `cancelled` whether a job is.
+    `may_answer` returns whether leases may be renewed at a time of the monotonic clock. `is_cancelled` returns whether
+    the job with an id is cancelled.
     """
 
-    def __init__(self, may_answer: Callable[[float], bool], cancelled: Callable[[str], bool]) -> None:
-        self._may_answer, self._cancelled = may_answer, cancelled
-        self.epoch = 0  # of the rebuild in progress; 0 while there is none
-        self.highest_epoch = 0  # that any worker has shown, other than `epoch`
+    def __init__(self, may_answer: Callable[[float], bool], is_cancelled: Callable[[str], bool]) -> None:
+        self._may_answer, self._is_cancelled = may_answer, is_cancelled
+        self.epoch = 0  # of the rebuild in progress; 0 until one has chosen an epoch
+        self.highest_epoch = 0  # highest epoch other than `epoch` that a worker reported
         self._heartbeats: dict[str, wire.Heartbeat] = {}
-        self._arrivals: list[str] = []
+        self._arrival_order: list[str] = []
 
     def begin(self, epoch: int) -> None:
-        """Starts to collect for a rebuild that gives tokens of this epoch."""
+        """Starts collecting heartbeats for a rebuild with this epoch and discards those for another epoch.
+
+        Does nothing if it already collects for this epoch.
+        """
         if epoch != self.epoch:
             self.epoch = epoch
             self._heartbeats.clear()
-            self._arrivals.clear()
+            self._arrival_order.clear()
 
     @property
     def token(self) -> int:
-        """The fencing token that workers are given."""
+        """The fencing token sent to workers: the first of the epoch."""
         return self.epoch << TOKEN_BITS
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
-        """Answers a heartbeat: status 200 renews the worker's lease, 503 sends it to another controller."""
-        shown = heartbeat.fencing_token >> TOKEN_BITS
-        if shown != self.epoch:
-            self.highest_epoch = max(self.highest_epoch, shown)
+        """Answers a heartbeat: status 200 renews the worker's lease, 503 makes it try another controller."""
+        reported_epoch = heartbeat.fencing_token >> TOKEN_BITS
+        if reported_epoch != self.epoch:
+            self.highest_epoch = max(self.highest_epoch, reported_epoch)
         if self.epoch and heartbeat.fencing_token == self.token:
-            self._keep(heartbeat)
+            self._add(heartbeat)
         if not self.epoch or heartbeat.fencing_token > self.token:
             return error_response(503, "the records are being rebuilt")
-        if not self._may_answer(time.monotonic()) and _runs_anything(heartbeat):
+        if not self._may_answer(time.monotonic()) and _has_running_tasks(heartbeat):
             return error_response(503, "cut from the state service for too long")
         return Response(200, wire.encode(wire.HeartbeatResponse(self.token, self._stop_commands(heartbeat))))
 
     def _stop_commands(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
-        """Stops cancelled tasks, which needs no record, so that they end in time however long the rebuild takes."""
+        """Returns commands that stop cancelled tasks.
+
+        These need no record, so cancelled tasks end in time however long the rebuild takes.
+        """
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
             for task in heartbeat.tasks
-            if task.state != wire.EXITED and (key := wire.split_task(task.task)) and self._cancelled(key[0])
+            if task.state != wire.EXITED and (key := wire.split_task(task.task)) and self._is_cancelled(key[0])
         ]
 
-    def _keep(self, heartbeat: wire.Heartbeat) -> None:
+    def _add(self, heartbeat: wire.Heartbeat) -> None:
         known = self._heartbeats.get(heartbeat.machine)
         if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
             self._heartbeats[heartbeat.machine] = heartbeat
-            self._arrivals.append(heartbeat.machine)
+            self._arrival_order.append(heartbeat.machine)
 
     def page(self, epoch: int, after: int) -> HeartbeatsPage:
-        """Heartbeats with an epoch's token from the position `after` on, and the position after them."""
+        """Returns heartbeats with an epoch's token from the position `after` on, and the position after them.
+
+        The page is empty, with the position 0, if this is not the epoch in progress.
+        """
         if epoch != self.epoch:
             return HeartbeatsPage([], 0, self.highest_epoch)
-        names = self._arrivals[after : after + PAGE_HEARTBEATS]
+        names = self._arrival_order[after : after + MAX_PAGE_HEARTBEATS]
         heartbeats = [self._heartbeats[name] for name in dict.fromkeys(names)]
         return HeartbeatsPage(heartbeats, after + len(names), self.highest_epoch)
 
 
-def _runs_anything(heartbeat: wire.Heartbeat) -> bool:
+def _has_running_tasks(heartbeat: wire.Heartbeat) -> bool:
     return any(task.state != wire.EXITED for task in heartbeat.tasks)
--- a/spurarch/recovery/loss_detection.py
+++ b/spurarch/recovery/loss_detection.py
@@ -1,4 +1,4 @@
-"""Notices lost records by workers that show partition epochs which are not on record."""
+"""Detects lost records by workers that report later partition epochs than those on record."""
 
 from __future__ import annotations
 
@@ -9,42 +9,47 @@
 from spurarch.storage.history import HistoryGuard
 from spurarch.storage.replica import Replica
 
-WORKERS_LEAST = 2  # a single worker may be faulty
-WORKERS_KEPT = 100
+MIN_WORKERS = 2  # that have to report unrecorded epochs, since a single worker may be faulty
+MAX_TRACKED_WORKERS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class _UnrecordedEpoch:
-    """A worker showed an epoch of its partition that is not on record here."""
+    """A partition epoch that a worker reported and that is later than the one on record."""
 
     zone: str
     epoch: int
 
 
 class LossDetector:
-    """Compares the epochs in heartbeats with those on record."""
+    """Compares the partition epochs in heartbeats with those on record."""
 
     def __init__(self, guard: HistoryGuard, replica: Replica) -> None:
         self._guard, self._replica = guard, replica
         self._unrecorded: dict[str, _UnrecordedEpoch] = {}  # by machine
 
     def observe(self, heartbeat: wire.Heartbeat) -> None:
-        """Remembers a worker that shows a later epoch than its partition has on record."""
+        """Stores the epoch in a heartbeat, for `check`, if its partition has an earlier one on record."""
         partition = self._replica.state.partitions.get(heartbeat.zone)
-        shown = heartbeat.fencing_token >> TOKEN_BITS
-        if partition is not None and shown > partition.epoch and len(self._unrecorded) < WORKERS_KEPT:
-            self._unrecorded[heartbeat.machine] = _UnrecordedEpoch(heartbeat.zone, shown)
+        reported_epoch = heartbeat.fencing_token >> TOKEN_BITS
+        if partition is not None and reported_epoch > partition.epoch and len(self._unrecorded) < MAX_TRACKED_WORKERS:
+            self._unrecorded[heartbeat.machine] = _UnrecordedEpoch(heartbeat.zone, reported_epoch)
 
     async def check(self) -> None:
-        """Reports a loss if a copy that was brought up to date still lacks the epochs of several workers."""
+        """Reports a loss to the guard if at least `MIN_WORKERS` reported epochs that are not on record.
+
+        Brings the copy of the records up to date before it decides. Does nothing if that fails.
+        """
         if not self._unrecorded:
             return
         unrecorded, self._unrecorded = self._unrecorded, {}
-        if len(unrecorded) < WORKERS_LEAST or not await self._replica.sync():
+        if len(unrecorded) < MIN_WORKERS or not await self._replica.sync():
             return
         partitions = self._replica.state.partitions
         unexplained = [
-            seen for seen in unrecorded.values() if seen.zone in partitions and seen.epoch > partitions[seen.zone].epoch
+            entry
+            for entry in unrecorded.values()
+            if entry.zone in partitions and entry.epoch > partitions[entry.zone].epoch
         ]
-        if len(unexplained) >= WORKERS_LEAST:
+        if len(unexplained) >= MIN_WORKERS:
             self._guard.lose(f"{len(unexplained)} workers show epochs that are not on record")
