--- a/spurarch/recovery/__init__.py
+++ b/spurarch/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Notices that the state service lost its data, and rebuilds the records from what is left elsewhere."""
+"""Detects that the state service lost its data, and rebuilds the records from copies and workers' heartbeats."""
--- a/spurarch/recovery/history_opening.py
+++ b/spurarch/recovery/history_opening.py
@@ -1,4 +1,4 @@
-"""Finds the history of records that is in force when a controller starts, or a sign that it was lost."""
+"""Finds the current history when a controller starts, or detects that its records were lost."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.25
-OTHER_INSTALLATION_PAUSE_S = 3.0
-CALL_S = 0.5
+STORE_RETRY_S = 0.25  # also while there is no history yet
+OTHER_INSTALLATION_RETRY_S = 3.0
+CALL_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class _SeenElsewhere:
-    """What other controllers and the archive have seen of histories."""
+class _ReportedRevisions:
+    """The revisions that other controllers and the archive report, with their histories."""
 
     answers: list[RevisionAnswer]
     head: ArchiveHead | None
 
     def newest_revision(self, history: str) -> int:
-        """The newest revision of a history that anybody has seen; 0 if nobody knows it."""
-        seen = [answer.revision for answer in self.answers if answer.history == history]
+        """Returns the newest revision reported for a history; 0 if none was reported."""
+        revisions = [answer.revision for answer in self.answers if answer.history == history]
         if self.head is not None and self.head.history is not None and self.head.history.name == history:
-            seen.append(self.head.revision)
-        return max(seen, default=0)
+            revisions.append(self.head.revision)
+        return max(revisions, default=0)
 
 
 class HistoryOpening:
-    """Opens the guard of a controller that starts, or tells it that records were lost.
+    """Opens the history guard of a controller that starts, or reports a loss of records to it.
 
-    `store` has no guard. `installation` is the operators' name for the owner of the records.
+    `store` is a client without a history guard. `installation` is the name that operators gave to the installation
+    that owns the records; a state service or an archive of another installation is not used.
     """
 
     def __init__(
@@ -59,18 +60,18 @@
         self._peers, self._archive = peers, archive
 
     async def run(self) -> bool:
-        """Waits until the history is known; False if there is a sign of loss."""
-        logged = False
+        """Waits until the current history is found; returns False if there is a sign of data loss."""
+        init_hint_logged = False
         while self._guard.phase is HistoryPhase.UNKNOWN:
             try:
                 await self._check_store()
             except StoreUnavailableError as err:
                 log.info("start waits for the state service error=%s", err)
             if self._guard.phase is HistoryPhase.UNKNOWN:
-                if not logged:
+                if not init_hint_logged:
                     log.info("no history yet, a new installation needs `spurarch recovery init`")
-                    logged = True
-                await curio.sleep(RETRY_S)
+                    init_hint_logged = True
+                await curio.sleep(STORE_RETRY_S)
         return self._guard.is_open
 
     async def _check_store(self) -> None:
@@ -81,58 +82,58 @@
         history = decode_history(item.value)
         if history.installation != self._installation:
             log.error(
-                "state service holds another installation installation=%r expected=%r",
+                "state service belongs to another installation installation=%r expected=%r",
                 history.installation,
                 self._installation,
             )
-            await curio.sleep(OTHER_INSTALLATION_PAUSE_S)
+            await curio.sleep(OTHER_INSTALLATION_RETRY_S)
             return
         marker = await self._store.get(OPEN + history.name)
         if marker is None:
             self._declare_lost(history, f"history {history.name} was sealed")
             return
-        newest = (await self._ask_others()).newest_revision(history.name)
-        page = await self._store.page(CURRENT, None)  # read later, so its revision is no lower, unless data was lost
-        if newest > page.revision:
-            self._declare_lost(history, f"revision {page.revision}, where {newest} was seen")
+        newest_reported = (await self._request_revisions()).newest_revision(history.name)
+        page = await self._store.page(CURRENT, None)  # read after the reports, so a lower revision shows a data loss
+        if newest_reported > page.revision:
+            self._declare_lost(history, f"revision {page.revision}, where {newest_reported} was seen")
             return
         self._guard.open(history, marker.version, page.revision, time.monotonic())
 
     async def _check_empty_store(self) -> None:
-        """An empty state service is either new or was wiped: an archive or another controller knows which."""
-        others = await self._ask_others()
-        archived = others.head.history if others.head is not None else None
+        """Reports a loss if the archive or a peer has seen a history, because the state service was then wiped."""
+        reported = await self._request_revisions()
+        archived = reported.head.history if reported.head is not None else None
         if archived is not None and archived.installation != self._installation:
             log.error(
-                "archive holds another installation installation=%r expected=%r",
+                "archive belongs to another installation installation=%r expected=%r",
                 archived.installation,
                 self._installation,
             )
         elif archived is not None:
             self._declare_lost(archived, f"no history, the archive has {archived.name}")
             return
-        for answer in others.answers:
+        for answer in reported.answers:
             if answer.history:
                 lost = HistoryRecord(answer.history, answer.number)
                 self._declare_lost(lost, f"no history, {answer.node} has seen {answer.history}")
                 return
 
     def _declare_lost(self, history: HistoryRecord, reason: str) -> None:
-        """A history is lost that this process never worked in."""
+        """Reports the loss of a history that this process never worked in."""
         if self._guard.lose(reason):
             self._guard.record = history
 
-    async def _ask_others(self) -> _SeenElsewhere:
-        """Asks all other controllers and the archive at once, with a short timeout.
+    async def _request_revisions(self) -> _ReportedRevisions:
+        """Queries all other controllers and the archive concurrently.
 
-        Workers are not answered meanwhile, and their leases go on running.
+        The timeout is short because this controller doesn't answer workers yet, so their leases aren't renewed.
         """
         request = recovery_messages.encode(RevisionRequest(self._node))
         async with curio.TaskGroup() as group:
-            asked = [await group.spawn(peer.call, request, CALL_S) for peer in self._peers.values()]
+            calls = [await group.spawn(peer.call, request, CALL_TIMEOUT_S) for peer in self._peers.values()]
             head = await group.spawn(self._archive_head)
-        answers = [recovery_messages.decode(task.result) for task in asked if task.result is not None]
-        return _SeenElsewhere([answer for answer in answers if isinstance(answer, RevisionAnswer)], head.result)
+        answers = [recovery_messages.decode(task.result) for task in calls if task.result is not None]
+        return _ReportedRevisions([answer for answer in answers if isinstance(answer, RevisionAnswer)], head.result)
 
     async def _archive_head(self) -> ArchiveHead | None:
-        return await copies.archive_head(self._archive, CALL_S) if self._archive is not None else None
+        return await copies.archive_head(self._archive, CALL_TIMEOUT_S) if self._archive is not None else None
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -14,9 +14,9 @@
 
 
 class RecoveryExtension:
-    """The parts of recovery that one controller is given; a controller that starts again gets new ones.
+    """The recovery components of one controller; a controller that starts again in another history gets new ones.
 
-    `finals` are final records that an earlier controller of this process knew: they hold in every history.
+    `finals` are the final records of the previous controller in this process. They stay valid in every later history.
     """
 
     def __init__(self, tuning: Tuning, finals: Mapping[str, FinalRecord]) -> None:
@@ -25,7 +25,7 @@
         self.coverage = ArchiveProgress(self.guard, tuning.archive_timeout_s, tuning.archive_away == "hold")
 
     def attach(self, controller: Controller) -> RecoveryService:
-        """Builds the recovery service of a controller."""
+        """Creates the recovery service of a controller and gives the controller the final records."""
         controller.replica.state.finals.update(self._finals)
         return RecoveryService(
             RecoveryContext(
@@ -50,10 +50,10 @@
     process_incarnation: str | None = None,
     before: Controller | None = None,
 ) -> Controller:
-    """Builds a controller that notices lost records and takes part in rebuilding them.
+    """Builds a controller that detects lost records and takes part in rebuilding them.
 
-    Its `run` returns when it has to start again in another history; `before` is the controller of this process that
-    did.
+    Its `run` returns when it has to start again in another history. Its successor in the same process is then built
+    with `before` set to it, so that the final records are passed on.
     """
     finals = before.replica.state.finals if before is not None else {}
     certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
--- a/spurarch/recovery/peer_responder.py
+++ b/spurarch/recovery/peer_responder.py
@@ -1,4 +1,4 @@
-"""Answers other controllers that ask for what this one knows of a history."""
+"""Answers recovery requests of peer controllers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerResponder:
-    """Serves the newest revision seen, pages of the copy of the records, and pages of collected heartbeats."""
+    """Serves the newest revision seen, this controller's copy of the records, and the collected heartbeats."""
 
     def __init__(
         self,
@@ -30,10 +30,10 @@
     ) -> None:
         self._node, self._process_incarnation = node, process_incarnation
         self._guard, self._replica, self._collector = guard, replica, collector
-        self._stored: list[StoredRecord] | None = None  # the copy, once it can't change any more
+        self._stored_records: list[StoredRecord] | None = None  # of the copy, set when it can't change any more
 
     def on_frame(self, frame: bytes) -> bytes | None:
-        """Answers a peer's message; None if it is no message of recovery."""
+        """Answers a peer's recovery message; returns None for any other message."""
         message = recovery_messages.decode(frame)
         if isinstance(message, RevisionRequest):
             record = self._guard.record
@@ -45,7 +45,7 @@
         return None
 
     def _evidence_page(self, request: EvidenceRequest) -> EvidencePage:
-        """A page of the copy; it has no records while the copy may still change."""
+        """Returns a page of the copy, without records while the history is open and the copy may still change."""
         replica, record = self._replica, self._guard.record
         closed = self._guard.phase is HistoryPhase.LOST
         page = EvidencePage(
@@ -60,10 +60,10 @@
             0,
         )
         if not closed:
-            self._guard.verified_at = float("-inf")  # so that the history's marker is verified before the next read
+            self._guard.verified_at = float("-inf")  # so that the next read first verifies the history's marker
             return page
-        if self._stored is None:
-            self._stored = copies.stored_records(replica.state)
-        stored = copies.page_of(self._stored, request.position)
+        if self._stored_records is None:
+            self._stored_records = copies.stored_records(replica.state)
+        stored = copies.page_of(self._stored_records, request.position)
         page.records, page.position = stored.records, stored.position
         return page
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -1,8 +1,8 @@
-"""One rebuild of lost records, by the controller that has claimed it.
+"""One rebuild of lost records, by the controller that holds the rebuild claim.
 
 The steps are: seal the lost history, gather copies of it, collect heartbeats, merge both, write and open a new history.
-Nobody reads what is written before the last transaction opens the new history. A rebuild that ends at any step leaves
-only keys that nobody reads, and the next one starts from the first step under a new name.
+No controller reads the new records before the last transaction opens the new history. A rebuild that stops earlier
+leaves only unused keys behind, and the next one starts from the first step under a new name.
 """
 
 from __future__ import annotations
@@ -26,71 +26,85 @@
 
 log = logging.getLogger(__name__)
 
-EPOCHS_UNSEEN = 1 << 16  # changes of owners that may have happened without a trace
-EPOCHS_MOST = 1 << 27
+EPOCHS_UNSEEN = 1 << 16  # upper bound of owner changes whose epochs are in no record or heartbeat seen here
+MAX_EPOCH = 1 << 27
 
 
 class Rebuild:
-    """One attempt to rebuild the records, under a name of its own."""
+    """One attempt to rebuild the records, under the unique name of the history that it would open.
 
-    def __init__(self, context: RebuildContext, claim: RebuildClaim, name: str, lost: HistoryRecord | None) -> None:
+    `own_history` is the history that this controller last worked in or found lost, or None.
+    """
+
+    def __init__(
+        self, context: RebuildContext, claim: RebuildClaim, name: str, own_history: HistoryRecord | None
+    ) -> None:
         self._context, self._name = context, name
-        self._known = lost  # None if not even the name of the lost history is known
+        self._own_history = own_history
         self._progress = RebuildProgress(claim, name)
 
     async def run(self) -> HistoryRecord:
-        """Goes through all steps and returns the history that was opened.
+        """Executes all steps and returns the history that was opened.
 
         Raises `ClaimLostError`, `RebuildRefusedError` or `StoreUnavailableError`.
         """
         context, progress = self._context, self._progress
-        lost = await self._seal()
+        lost_history = await self._seal()
         progress.advance(Step.GATHERING)
-        copies = await CopyGathering(context, progress).gather(lost)
+        copies = await CopyGathering(context, progress).gather(lost_history)
         progress.advance(Step.COLLECTING)
-        evidence = await WorkerSurvey(context, progress).collect(lost, copies)
+        evidence = await WorkerSurvey(context, progress).collect(lost_history, copies)
         rebuilt = await self._merge(evidence)
         progress.advance(Step.WRITING)
-        history = await HistoryWriter(context, progress).write(lost, rebuilt)
+        history = await HistoryWriter(context, progress).write(lost_history, rebuilt)
         progress.advance(Step.OPENED)
         return history
 
     async def _seal(self) -> HistoryRecord:
-        """Deletes the lost history's marker: from then on, no transaction of that history can succeed."""
+        """Deletes the marker of the lost history, so that no transaction of that history can commit any more.
+
+        Returns the lost history. Raises `ClaimLostError`, `RebuildRefusedError` or `StoreUnavailableError`.
+        """
         store = self._context.store
         item = await store.get(CURRENT)
         current = msgspec.json.decode(item.value, type=HistoryRecord) if item is not None else None
-        candidates = [history for history in (current, self._known) if history is not None]
+        candidates = [history for history in (current, self._own_history) if history is not None]
         if not candidates:
-            raise RebuildRefusedError("no history is known: is this a new installation? (recovery init)")
-        lost = max(candidates, key=lambda history: history.number)
-        changes: list[wire.Put | wire.Delete] = [wire.Put(REBUILD + self._name, OpenMarker(lost.number + 1))]
+            raise RebuildRefusedError(
+                "no history to rebuild is on record; for a new installation, run `spurarch recovery init`"
+            )
+        lost_history = max(candidates, key=lambda history: history.number)
+        changes: list[wire.Put | wire.Delete] = [wire.Put(REBUILD + self._name, OpenMarker(lost_history.number + 1))]
         guards = [wire.Guard(REBUILD + self._name, 0)]
         for name in dict.fromkeys(history.name for history in candidates):
             marker = await store.get(OPEN + name)
             if marker is None:
                 continue
-            if self._known is not None and lost.number > self._known.number:
-                raise ClaimLostError(f"history {lost.number} is open by now")
+            if self._own_history is not None and lost_history.number > self._own_history.number:
+                raise ClaimLostError(f"history {lost_history.number} was opened by another controller")
             changes.append(wire.Delete(OPEN + name))
             guards.append(wire.Guard(OPEN + name, marker.version))
-        self._progress.epoch = self._choose_epoch(lost)
+        self._progress.epoch = self._choose_epoch(lost_history)
         await self._progress.commit(changes, guards)
         self._progress.mark_sealed()
         self._context.collector.begin(self._progress.epoch)
-        return lost
+        return lost_history
 
-    def _choose_epoch(self, lost: HistoryRecord) -> int:
-        """An epoch above all that were ever given, whether any worker has shown it or not.
+    def _choose_epoch(self, lost_history: HistoryRecord) -> int:
+        """Returns a partition epoch above all that were ever assigned, including those that no worker has reported.
 
-        It is chosen at once, by what is known here. Workers whose partition owner has ended have to be answered before
-        their leases expire, while the copies of other controllers are still being waited for.
+        It is chosen before copies are requested from other controllers: workers whose partition owner has stopped need
+        responses with its fencing token before their leases expire. Raises `RebuildRefusedError` if none is left.
         """
-        own = self._context.own_copy()
-        seen = max(lost.epoch, self._context.collector.highest_epoch, highest_epoch([own] if own is not None else []))
-        epoch = seen + EPOCHS_UNSEEN
-        if epoch > EPOCHS_MOST:
-            raise RebuildRefusedError("partition epochs are used up")
+        own_copy = self._context.own_copy()
+        highest_seen = max(
+            lost_history.epoch,
+            self._context.collector.highest_epoch,
+            highest_epoch([own_copy] if own_copy is not None else []),
+        )
+        epoch = highest_seen + EPOCHS_UNSEEN
+        if epoch > MAX_EPOCH:
+            raise RebuildRefusedError("no partition epoch is left for a new history")
         return epoch
 
     async def _merge(self, evidence: Evidence) -> RebuiltRecords:
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -1,10 +1,10 @@
-"""Keeps one controller from acting on records that were lost, and takes part in rebuilding them.
+"""The recovery service of a controller: stops it from using lost records, and rebuilds them.
 
     WATCHING -> CLOSED -> (REBUILDING ->) MOVED
 
-While WATCHING, the history is in force as far as is known. While CLOSED, no records are read or written, and whoever
-gets the claim goes on to REBUILDING. Once another history is open, the controller has MOVED: it starts again in that
-history, as after a restart.
+In WATCHING, no sign of data loss was detected. In CLOSED, the controller neither reads nor writes records; the one that
+acquires the claim enters REBUILDING, and returns to CLOSED if its rebuild fails. In MOVED, another history is open: the
+controller starts again in that history, as after a restart.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.25
-REFUSED_PAUSE_S = 3.0
-REBUILD_SHARE = 0.9  # of the state service's rates, which nobody else uses meanwhile
-CONNECTIONS = 2
+REFUSED_RETRY_S = 3.0  # after a `RebuildRefusedError`
+REBUILD_RATE_SHARE = 0.9  # of the state service's rate limits, since no other controller uses them during a rebuild
+CONNECTIONS = 2  # each to the state service and the archive server
 
 
 class ServicePhase(enum.Enum):
-    """What recovery does in this controller."""
+    """State of the recovery service."""
 
     WATCHING = "watching"
     CLOSED = "closed"
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryContext:
-    """The parts of a controller that recovery works with."""
+    """The components of a controller that the recovery service uses."""
 
     platform: Platform
     tuning: Tuning
@@ -80,7 +80,7 @@
 
 
 class RecoveryService:
-    """Recovery, as one controller takes part in it."""
+    """Detects data loss and rebuilds the records, together with the recovery services of the other controllers."""
 
     def __init__(self, context: RecoveryContext) -> None:
         platform, tuning, permissions = context.platform, context.tuning, context.permissions
@@ -115,50 +115,57 @@
 
     def _advance(self, phase: ServicePhase) -> None:
         if phase not in _NEXT[self.phase]:
-            raise RuntimeError(f"{self.phase} -> {phase}")
+            raise RuntimeError(f"{self.phase} may not be followed by {phase}")
         log.info("recovery phase changed phase=%s", phase.value)
         self.phase = phase
 
     @property
     def closed(self) -> bool:
-        """Whether the records must not be trusted."""
+        """Whether the records of this controller's history were found to be lost."""
         return self._guard.phase is HistoryPhase.LOST
 
     @property
-    def _moved(self) -> bool:
+    def _has_moved(self) -> bool:
         return self.phase is ServicePhase.MOVED
 
     async def open_history(self) -> bool:
-        """Waits until the history in force is known; False if there is a sign of loss."""
+        """Waits until the current history is found; returns False if there is a sign of data loss."""
         return await self._opening.run()
 
     async def run(self) -> None:
-        """Watches for loss and rebuilds; returns when this controller has to start again in another history."""
+        """Detects data loss and rebuilds; returns when this controller has to start again in another history."""
         while not self.closed:
             await curio.sleep(CHECK_INTERVAL_S)
             await self._loss_detector.check()
         log.warning("state service data lost reason=%s", self._guard.reason)
         self._advance(ServicePhase.CLOSED)
-        self._store.rates.set_shares(REBUILD_SHARE, REBUILD_SHARE)
-        reached = True  # only to log an outage once
-        while not self._moved:
+        self._store.rates.set_shares(REBUILD_RATE_SHARE, REBUILD_RATE_SHARE)
+        store_reachable = True  # so that an outage is logged at INFO only once
+        while not self._has_moved:
             try:
                 await self._move_or_rebuild()
-                reached = True
+                store_reachable = True
             except StoreUnavailableError as err:
-                log.log(logging.INFO if reached else logging.DEBUG, "rebuild waits for the state service error=%s", err)
-                reached = False
-            if not self._moved:
+                log.log(
+                    logging.INFO if store_reachable else logging.DEBUG,
+                    "rebuild waits for the state service error=%s",
+                    err,
+                )
+                store_reachable = False
+            if not self._has_moved:
                 await curio.sleep(CHECK_INTERVAL_S)
 
     async def _move_or_rebuild(self) -> None:
-        """Moves if another history is open; rebuilds if no other controller does."""
+        """Enters MOVED if a later history is open; otherwise rebuilds if this controller can acquire the claim.
+
+        While another controller rebuilds, collects heartbeats for its epoch. Raises `StoreUnavailableError`.
+        """
         await self._claim.read()
         item = await self._store.get(CURRENT)
         current = decode_history(item.value) if item is not None else None
         if current is not None and current.name != self._guard.record.name:
             marker = await self._store.get(OPEN + current.name)
-            if marker is not None and (self._lost is None or current.number > self._lost.number):
+            if marker is not None and (self._own_history is None or current.number > self._own_history.number):
                 self._advance(ServicePhase.MOVED)
                 return
         name = os.urandom(6).hex()
@@ -168,38 +175,42 @@
             self.collector.begin(self._claim.record.epoch)
 
     @property
-    def _lost(self) -> HistoryRecord | None:
-        """The history that this controller worked in, if it knew one."""
+    def _own_history(self) -> HistoryRecord | None:
+        """The history that this controller last worked in or found lost at its start; None if it found none."""
         return self._guard.record if self._guard.record.name else None
 
     async def _rebuild(self, name: str) -> None:
         self._advance(ServicePhase.REBUILDING)
         try:
-            history = await Rebuild(self._rebuild_context, self._claim, name, self._lost).run()
+            history = await Rebuild(self._rebuild_context, self._claim, name, self._own_history).run()
         except (ClaimLostError, RebuildRefusedError, StoreUnavailableError) as err:
             log.warning("rebuild abandoned history=%s error=%s", name, err)
             self._advance(ServicePhase.CLOSED)
-            await curio.sleep(REFUSED_PAUSE_S if isinstance(err, RebuildRefusedError) else CHECK_INTERVAL_S)
+            await curio.sleep(REFUSED_RETRY_S if isinstance(err, RebuildRefusedError) else CHECK_INTERVAL_S)
             return
         log.warning("history opened number=%d history=%s", history.number, history.name)
         self._advance(ServicePhase.MOVED)
 
     def _own_copy(self) -> Source | None:
-        if self._lost is None or not self._replica.loaded:
+        """Returns the records in this controller's memory; None unless it completely read those of a history."""
+        if self._own_history is None or not self._replica.loaded:
             return None
         return copies.memory_source(self._node, self._replica.state, self._replica.loaded_revision)
 
     def observe(self, heartbeat: wire.Heartbeat) -> None:
-        """Looks for a sign of loss in a heartbeat."""
+        """Checks a worker's heartbeat for a sign of data loss."""
         self._loss_detector.observe(heartbeat)
 
     async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
-        """Answers a heartbeat while the records must not be trusted: HTTP status and body."""
+        """Answers a heartbeat while the history is closed.
+
+        The partition owner answers until a rebuild has chosen an epoch, after that the collector.
+        """
         if self.collector.epoch:
             return self.collector.on_heartbeat(heartbeat)
-        self.collector.on_heartbeat(heartbeat)  # for the epoch that it shows
+        self.collector.on_heartbeat(heartbeat)  # updates `highest_epoch`; the response is not used
         return await self._owner.on_heartbeat(heartbeat, time.monotonic())
 
     def on_frame(self, frame: bytes) -> bytes | None:
-        """Answers a peer's message; None if it is no message of recovery."""
+        """Answers a peer's recovery message; returns None for any other message."""
         return self._responder.on_frame(frame)
