--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -1,4 +1,4 @@
-"""The commands `spurarch recovery ...`, for operators."""
+"""The operator commands `spurarch recovery ...`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from spurarch.storage.store import Store
 from spurarch.transport.network import Network
 
-USAGE, FAILED = 2, 1
+EXIT_USAGE, EXIT_FAILED = 2, 1
 CONNECTIONS = 2
-RATE_SHARE = 0.05  # of the state service's rates, taken beside those of the controllers
+RATE_SHARE = 0.05  # share of the state service's rate limits, used in addition to the shares of the controllers
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Adds the commands to the command line."""
+    """Adds the `recovery` commands to the command line parser."""
     text = "look at histories of records, and settle what is in doubt"
     parser = commands.add_parser("recovery", help=text, description=text)
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
@@ -35,9 +35,9 @@
     status = actions.add_parser("status", help="which history is in force, and how far it is archived")
     doubts = actions.add_parser("doubts", help="what can't be known since the records were rebuilt")
     settle = actions.add_parser("settle", help="decide what is in doubt")
-    which = settle.add_mutually_exclusive_group(required=True)
-    which.add_argument("--job", metavar="REF")
-    which.add_argument("--unknown-jobs", action="store_true", help="jobs without a record were never accepted")
+    target = settle.add_mutually_exclusive_group(required=True)
+    target.add_argument("--job", metavar="REF")
+    target.add_argument("--unknown-jobs", action="store_true", help="jobs without a record were never accepted")
     settle.add_argument("--as", dest="state", choices=[wire.DONE, wire.CANCELLED])
     purge = actions.add_parser("purge", help="delete what earlier histories left in the state service")
     for action in (init, status, doubts, settle, purge):
@@ -45,7 +45,7 @@
 
 
 def run_command(args: argparse.Namespace) -> int:
-    """Runs a command and returns its exit code."""
+    """Executes a `recovery` command and returns its exit code."""
     actions: dict[str, Callable[[Store, argparse.Namespace], Awaitable[None]]] = {
         "init": _init,
         "status": _print_status,
@@ -60,10 +60,10 @@
         curio.run(actions[args.action], store, args)
     except (SettingsError, OperatorError) as err:
         print(f"spurarch: {err}", file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     except StoreUnavailableError as err:
         print(f"spurarch: state service: {err}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILED
     return 0
 
 
--- a/spurarch/recovery/evidence.py
+++ b/spurarch/recovery/evidence.py
@@ -1,4 +1,4 @@
-"""What is known of a lost history: copies of its records, and heartbeats that workers sent after it was sealed."""
+"""Evidence on a lost history: copies of its records, and heartbeats that workers sent after it was sealed."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 class SourceKind(enum.Enum):
     """Origin of a copy."""
 
-    REPLICA = "replica"  # the memory of a controller that was not restarted
+    REPLICA = "replica"  # the memory of a controller that was not restarted since the loss
     ARCHIVE = "archive"
-    REMAINS = "remains"  # what the state service still holds
-    ANCESTOR = "ancestor"  # the archive of the history before the lost one
+    REMAINS = "remains"  # records that are still in the state service
+    ANCESTOR = "ancestor"  # the archive of the parent of the lost history
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,8 +37,13 @@
 class Source:
     """A copy of a history's records.
 
-    It holds all records in use at `revision`, and possibly some that are newer. Final records are complete for the
-    revisions from `since` on. `unreadable` counts values that could not be decoded.
+    Attributes:
+        name: Controller or other component that gave the copy.
+        since: The copy has all final records that were written after this revision.
+        revision: The copy has all other records that existed at this revision, and possibly some that are newer.
+        alive: Records other than final records, by key.
+        finals: Final records, by job id.
+        unreadable: Number of values that could not be decoded.
     """
 
     kind: SourceKind
@@ -50,7 +55,7 @@
     unreadable: int = 0
 
     def add(self, stored: StoredRecord) -> None:
-        """Adds a record; one that can't be decoded is only counted."""
+        """Adds a record, or the records that share a value; counts a value that can't be decoded as unreadable."""
         try:
             if stored.key.startswith(PACKED):
                 for job, final in decode_packed(stored.value).jobs.items():
@@ -74,27 +79,32 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """All that a rebuild is based on.
-
-    `heartbeats` holds the newest of each worker that has shown the rebuild's fencing token, so that no command sent to
-    it before has an effect any more. `complete` says that every controller of the lost history gave its copy.
+    """The input of a merge.
+
+    Attributes:
+        sources: Copies of the lost history's records.
+        heartbeats: By machine, the newest heartbeat with the rebuild's fencing token. Commands that were sent to such a
+            worker earlier no longer have an effect.
+        complete: Every controller of the lost history gave its copy.
+        uncertain: The lost history may already have lacked jobs.
+        archived_answers: Users were notified only of what the archive already held.
     """
 
     sources: list[Source] = field(default_factory=list)
     heartbeats: dict[str, wire.Heartbeat] = field(default_factory=dict)
     complete: bool = False
-    uncertain: bool = False  # the lost history may already have lacked jobs
-    archived_answers: bool = False  # users were told only what the archive held already
+    uncertain: bool = False
+    archived_answers: bool = False
 
     def add_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
-        """Adds a worker's heartbeat unless a newer one is known."""
+        """Adds a worker's heartbeat unless it has a newer or the same one."""
         known = self.heartbeats.get(heartbeat.machine)
         if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
             self.heartbeats[heartbeat.machine] = heartbeat
 
 
 def highest_epoch(sources: Iterable[Source]) -> int:
-    """The highest partition epoch on record in any copy; 0 if there is none."""
+    """Returns the highest partition epoch on record in any copy; 0 if there is none."""
     return max(
         (
             found.record.epoch
@@ -107,7 +117,7 @@
 
 
 def machines_on_record(sources: Iterable[Source]) -> set[str]:
-    """Names of the machines that any copy knows, by a record of their own or by a task assigned to them."""
+    """Returns the names of the machines that have a record, or a task assigned to them, in any copy."""
     machines: set[str] = set()
     for source in sources:
         for key, found in source.alive.items():
--- a/spurarch/recovery/history_writer.py
+++ b/spurarch/recovery/history_writer.py
@@ -1,4 +1,4 @@
-"""The last step of a rebuild: writes the rebuilt records under a prefix of their own, and opens the new history."""
+"""The last step of a rebuild: writes the rebuilt records under the new history's prefix, and opens that history."""
 
 from __future__ import annotations
 
@@ -25,41 +25,44 @@
 from spurarch.storage.records import UNRESOLVED, FinalRecord, LeaderRecord, PartitionRecord
 from spurarch.storage.seeds import SEED, SeedRecord, pack
 
-SEEDED_ABOVE_S = 2.0  # of changes at the published rate: more records than that share values
-PACKED_FINAL_BYTES = 60  # of one packed final state as JSON, with room for a long name
+SEEDED_ABOVE_S = 2.0  # records share values if writing each under its own key takes longer at the published rate
+PACKED_FINAL_BYTES = 60  # JSON of one packed final state, with a margin for a long job id
 
 
 class HistoryWriter:
-    """Writes a history that follows a lost one."""
+    """Writes the history that replaces a lost one."""
 
     def __init__(self, context: RebuildContext, progress: RebuildProgress) -> None:
         self._limits, self._zones = context.deployment.state, context.deployment.zones
         self._progress = progress
 
-    async def write(self, lost: HistoryRecord, rebuilt: RebuiltRecords) -> HistoryRecord:
-        """Writes all records and opens the history; raises `ClaimLostError` or `StoreUnavailableError`."""
+    async def write(self, lost_history: HistoryRecord, rebuilt: RebuiltRecords) -> HistoryRecord:
+        """Writes all records, opens the new history and returns it.
+
+        Raises `ClaimLostError` or `StoreUnavailableError`.
+        """
         packed = pack_finals(rebuilt.finals, self._limits.value_bytes)
-        history = self._new_history(lost, len(packed), rebuilt.uncertain)
-        contents = dict(self._contents(rebuilt, packed))
-        if len(contents) > SEEDED_ABOVE_S * self._limits.write_rps:
-            contents = _share_values(contents, self._limits)
+        history = self._new_history(lost_history, len(packed), rebuilt.uncertain)
+        values_by_key = dict(self._keys_and_values(rebuilt, packed))
+        if len(values_by_key) > SEEDED_ABOVE_S * self._limits.write_rps:
+            values_by_key = _share_values(values_by_key, self._limits)
             history.seeded = True
-        puts = [wire.Put(history.prefix + key, value) for key, value in contents.items()]
-        for batch in _batches(puts, self._limits.transaction_changes - 1):  # each also changes the claim
+        puts = [wire.Put(history.prefix + key, value) for key, value in values_by_key.items()]
+        for batch in _batches(puts, self._limits.transaction_changes - 1):  # one more change renews the claim
             await self._progress.commit(list(batch))
         await self._open(history)
         return history
 
-    def _new_history(self, lost: HistoryRecord, packed: int, uncertain: bool) -> HistoryRecord:
+    def _new_history(self, lost_history: HistoryRecord, packed: int, uncertain: bool) -> HistoryRecord:
         return HistoryRecord(
             self._progress.name,
-            lost.number + 1,
+            lost_history.number + 1,
             self._progress.epoch,
             packed,
             uncertain,
-            lost.name,
-            lost.archived_answers,
-            lost.installation,
+            lost_history.name,
+            lost_history.archived_answers,
+            lost_history.installation,
         )
 
     async def _open(self, history: HistoryRecord) -> None:
@@ -68,13 +71,14 @@
             wire.Put(CURRENT, history),
             wire.Put(marker, OpenMarker(history.number)),
             wire.Delete(REBUILD + history.name),
-            # A version that knows no history would lead in the first one's keys; this leader's record has no lease.
+            # A controller without recovery would become leader under the keys of the first history. This leader
+            # record, which has no lease and so never expires, prevents that.
             wire.Put(records.LEADER, LeaderRecord("", "")),
         ]
         await self._progress.commit(changes, [wire.Guard(marker, 0)], Step.OPENED)
 
-    def _contents(self, rebuilt: RebuiltRecords, packed: list[PackedFinals]) -> Iterator[tuple[str, object]]:
-        """Keys and values of the new history, without its prefix."""
+    def _keys_and_values(self, rebuilt: RebuiltRecords, packed: list[PackedFinals]) -> Iterator[tuple[str, object]]:
+        """Yields the keys, without prefix, and the values of the new history's records."""
         for job, record in rebuilt.jobs.items():
             yield records.JOB + job, record
         for job, admitted in rebuilt.admitted.items():
@@ -93,7 +97,10 @@
 
 
 def pack_finals(finals: dict[str, FinalRecord], value_bytes: int) -> list[PackedFinals]:
-    """Packs the final states that are certain into values of less than `value_bytes`, by the hash of the job id."""
+    """Packs the resolved final states into values of less than `value_bytes` by a hash of the job id.
+
+    Returns no values if there are no resolved final states.
+    """
     certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
     count = -(-2 * PACKED_FINAL_BYTES * len(certain) // value_bytes)  # rounded up
     while count:
@@ -107,24 +114,27 @@
     return []
 
 
-def _share_values(contents: dict[str, object], limits: StateLimits) -> dict[str, object]:
-    """Puts many records in use into one value; partitions change owners at once, and keep keys of their own."""
-    shared = [key for key in contents if key.startswith(records.LIVE) and not key.startswith(records.PARTITION)]
-    seeds = [SeedRecord(key, msgspec.Raw(wire.encode(contents[key]))) for key in shared]
+def _share_values(values_by_key: dict[str, object], limits: StateLimits) -> dict[str, object]:
+    """Returns the keys and values after packing records other than final ones into shared values.
+
+    Partition records keep their own keys, because controllers change them as soon as the history is open.
+    """
+    shared = [key for key in values_by_key if key.startswith(records.LIVE) and not key.startswith(records.PARTITION)]
+    seeds = [SeedRecord(key, msgspec.Raw(wire.encode(values_by_key[key]))) for key in shared]
     seeded = set(shared)
-    out = {key: value for key, value in contents.items() if key not in seeded}
+    out = {key: value for key, value in values_by_key.items() if key not in seeded}
     for number, shared_value in enumerate(pack(seeds, limits.transaction_changes, limits.value_bytes)):
         out[f"{SEED}{number}"] = shared_value
     return out
 
 
-def _batches(puts: list[wire.Put], most_changes: int) -> Iterator[list[wire.Put]]:
-    """Splits changes into transactions within the limits on their number and bytes."""
+def _batches(puts: list[wire.Put], max_changes: int) -> Iterator[list[wire.Put]]:
+    """Yields the changes in batches of at most `max_changes` and about `TXN_BYTES`, one for each transaction."""
     batch: list[wire.Put] = []
     size = 0
     for put in puts:
         length = len(wire.encode(put))
-        if batch and (len(batch) >= most_changes or size + length > records.TXN_BYTES):
+        if batch and (len(batch) >= max_changes or size + length > records.TXN_BYTES):
             yield batch
             batch, size = [], 0
         batch.append(put)
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -5,16 +5,16 @@
 
   1. A final record overrides everything else about its job. Two that differ leave the outcome unresolved.
   2. Among copies of one history, the change with the highest revision wins, and a copy that is complete at a revision
-     proves that a record which it lacks was deleted by then. A job that is in use in one copy, deleted in a newer one
-     and has no final record anywhere is terminal with an unresolved outcome, unless it was cancelled.
-  3. A worker's heartbeat that shows the rebuild's fencing token is complete for that worker: the attempts that it lists
-     exist, others do not, and no command sent earlier has an effect. An end overrides an attempt, a higher attempt a
-     lower one.
-  4. A task that the records assign to a worker without such a heartbeat stays assigned to it: only the ordinary proofs
-     of its partition's owner free it.
-  5. Where users are told only what is archived, a terminal job without a final record in the archive is not terminal
-     for any user: it goes on, and those of its tasks that are done end at once.
-  6. All other tasks that have not ended go back to the leader, who admits them again within the quotas of their teams.
+     proves that a record which it lacks was deleted by then. A job that is on record in one copy, deleted in a newer
+     one and without a final record in any is terminal with an unresolved outcome, unless it was cancelled.
+  3. A worker's heartbeat with the rebuild's fencing token is complete for that worker: the attempts that it lists
+     exist, others do not, and no command sent earlier has an effect. The end of a task overrides any attempt, a higher
+     attempt a lower one.
+  4. A task that the records assign to a worker without such a heartbeat stays assigned to it. The partition owner frees
+     it as usual, once there is proof that the attempt no longer runs.
+  5. Where users are notified only of what is archived, a job that became terminal without a final record in the archive
+     is not terminal for any user. It continues, and its tasks that were reported as done end at once.
+  6. All other tasks that have not ended are returned to the leader, which admits them again within their teams' quotas.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
     TaskEntry,
 )
 
-STEP = 200  # heartbeats or jobs between two pauses
-ATTEMPTS_UNSEEN = 1000  # attempts that may have been started without a trace, where records may be missing
+ITEMS_PER_STEP = 200  # heartbeats or jobs processed between two yields to the caller
+ATTEMPT_MARGIN = 1000  # upper bound of attempts that no record or heartbeat shows, where records may be missing
 
 
-_COPIES = {SourceKind.REPLICA, SourceKind.ARCHIVE}
+_COPY_KINDS = {SourceKind.REPLICA, SourceKind.ARCHIVE}
 
 
 @dataclass(frozen=True, slots=True)
 class _Placement:
-    """An attempt of a task on a machine, by a record or a heartbeat."""
+    """An attempt of a task on a machine, according to a record or a heartbeat."""
 
     attempt: int
     zone: str
@@ -54,8 +54,11 @@
 
 
 @dataclass(slots=True)
-class _Task:
-    """What is known of one task: its highest attempt, and where records and heartbeats place it."""
+class _TaskEvidence:
+    """Evidence on one task: its highest attempt, and its placements by records and by heartbeats.
+
+    `zone` is the zone of the highest recorded attempt, else that of a heartbeat; empty if there is neither.
+    """
 
     attempt: int = 0
     ended: bool = False
@@ -65,7 +68,7 @@
 
 
 def merge(evidence: Evidence, tasks_per_record: int) -> RebuiltRecords:
-    """Merges the evidence at once."""
+    """Merges the evidence without yielding and returns the rebuilt records."""
     merger = Merger(evidence, tasks_per_record)
     for _ in merger.steps():
         pass
@@ -73,7 +76,7 @@
 
 
 def alive_records(sources: Iterable[Source]) -> dict[str, Versioned]:
-    """The records in use at the end of a history, by copies of it."""
+    """Returns the records that were not deleted at the end of a history, by key, according to copies of it."""
     copies = list(sources)
     newest: dict[str, Versioned] = {}
     for source in copies:
@@ -88,21 +91,22 @@
 
 
 class Merger:
-    """One merge, in steps between which the caller may do other work: a large fleet takes seconds."""
+    """One merge, in steps between which the caller may do other work, since a large fleet takes seconds."""
 
     def __init__(self, evidence: Evidence, tasks_per_record: int) -> None:
         self._evidence, self._tasks_per_record = evidence, tasks_per_record
-        # The remains in the state service may have been written to since they were rolled back, and an ancestor counts
-        # other revisions. Both are used for jobs and final records only, unless there is no other copy.
-        copies = [source for source in evidence.sources if source.kind in _COPIES]
+        # What remains in the state service may have been changed after it was rolled back, and the revisions of an
+        # ancestor history are not comparable. Both are used for jobs and final records only, unless no other copy
+        # exists.
+        copies = [source for source in evidence.sources if source.kind in _COPY_KINDS]
         self._copies = copies or evidence.sources
         self._alive = alive_records(self._copies)
-        self._tasks: dict[str, dict[int, _Task]] = defaultdict(lambda: defaultdict(_Task))
-        self._reopened: set[str] = set()  # jobs whose allocations are gone from the newest copy
+        self._tasks: dict[str, dict[int, _TaskEvidence]] = defaultdict(lambda: defaultdict(_TaskEvidence))
+        self._restored_jobs: set[str] = set()  # kept although the newest copy lacks them and their allocations
         self.rebuilt = self._out = RebuiltRecords()
 
     def steps(self) -> Iterator[None]:
-        """Does the merge, with a pause at each item; `rebuilt` is complete at the end."""
+        """Merges the evidence and yields after each step; `rebuilt` is complete once the iterator is exhausted."""
         out = self._out
         out.set_aside = sum(source.unreadable for source in self._evidence.sources)
         out.uncertain = not self._finals_complete()
@@ -114,27 +118,31 @@
         yield
         for number, (_, heartbeat) in enumerate(sorted(self._evidence.heartbeats.items())):
             self._apply_heartbeat(heartbeat)
-            if number % STEP == STEP - 1:
+            if number % ITEMS_PER_STEP == ITEMS_PER_STEP - 1:
                 yield
         for number, job in enumerate(sorted(out.jobs)):
             self._write_job(job)
-            if number % STEP == STEP - 1:
+            if number % ITEMS_PER_STEP == ITEMS_PER_STEP - 1:
                 yield
         out.unresolved = sorted(set(out.unresolved))
 
     def _finals_complete(self) -> bool:
-        """Whether all final records are known: all controllers gave copies, which leave no gap after the archive."""
+        """Whether no final record can be missing.
+
+        That holds if the archive is authoritative, or if all controllers gave copies that have missed no change since
+        the archived revision. It never holds if the lost history may itself have lacked jobs.
+        """
         if self._evidence.uncertain:
             return False
-        if self._archive_is_enough:
+        if self._archive_is_authoritative:
             return True
         archived = [s.revision for s in self._evidence.sources if s.kind is SourceKind.ARCHIVE]
         replicas = [s.since for s in self._evidence.sources if s.kind is SourceKind.REPLICA]
         return self._evidence.complete and bool(archived and replicas) and min(replicas) <= max(archived)
 
     @property
-    def _archive_is_enough(self) -> bool:
-        """Whether the archive is here and holds whatever any user was told."""
+    def _archive_is_authoritative(self) -> bool:
+        """Whether there is a copy of the archive, and users were notified only of what the archive held."""
         archived = any(source.kind is SourceKind.ARCHIVE for source in self._evidence.sources)
         return self._evidence.archived_answers and archived
 
@@ -156,26 +164,26 @@
 
     def _merge_jobs(self) -> None:
         cancelled: dict[str, JobRecord] = {}
-        known: dict[str, JobRecord] = {}
-        for source in sorted(self._evidence.sources, key=_age):
+        job_records: dict[str, JobRecord] = {}
+        for source in sorted(self._evidence.sources, key=_oldest_first):
             for key, found in source.alive.items():
                 if isinstance(found.record, JobRecord):
                     job = key[len(records.JOB) :]
-                    known[job] = found.record
+                    job_records[job] = found.record
                     if found.record.cancelled:
                         cancelled[job] = found.record
-        for job, record in known.items():
+        for job, record in job_records.items():
             if job in self._out.finals:
                 continue
             newest = self._alive.get(records.JOB + job)
             if job in cancelled:
-                # A cancellation is never taken back, so this job can only have ended as cancelled.
+                # A cancellation is never revoked, so this job can only have ended as cancelled.
                 self._out.jobs[job] = cancelled[job]
             elif newest is not None and isinstance(newest.record, JobRecord):
                 self._out.jobs[job] = newest.record
-            elif self._archive_is_enough:
-                self._out.jobs[job] = record  # no user was told that it is terminal
-                self._reopened.add(job)
+            elif self._archive_is_authoritative:
+                self._out.jobs[job] = record  # no user was notified that the job is terminal
+                self._restored_jobs.add(job)
             else:
                 self._mark_unresolved(
                     job, UnresolvedKind.OUTCOME, "alive in an older copy, gone in a newer one", record.spec.tasks
@@ -196,9 +204,9 @@
                     for entry in found.record.tasks:
                         self._add_entry(allocation, entry)
 
-        for source in self._copies if self._reopened else ():
+        for source in self._copies if self._restored_jobs else ():
             for key, found in sorted(source.alive.items()):
-                if isinstance(found.record, AllocationRecord) and AllocationKey.parse(key).job in self._reopened:
+                if isinstance(found.record, AllocationRecord) and AllocationKey.parse(key).job in self._restored_jobs:
                     for entry in found.record.tasks:
                         self._add_entry(AllocationKey.parse(key), entry)
 
@@ -209,42 +217,47 @@
             task.attempt, task.zone = entry.attempt, allocation.zone
         if entry.state == records.ASSIGNED:
             place = _Placement(entry.attempt, allocation.zone, entry.machine, entry.incarnation)
-            task.recorded = _higher(task.recorded, place)
+            task.recorded = _higher_attempt(task.recorded, place)
 
     def _apply_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
-        for seen in heartbeat.tasks:
-            key = wire.split_task(seen.task)
+        for status in heartbeat.tasks:
+            key = wire.split_task(status.task)
             if key is None:
                 self._out.set_aside += 1
                 continue
             job, index = key
             record = self._out.jobs.get(job)
             if record is None:
-                self._mark_unknown_job(job, heartbeat, seen)
+                self._mark_unknown_job(job, heartbeat, status)
             elif index >= record.spec.tasks:
                 self._out.set_aside += 1
             else:
-                self._add_status(record, heartbeat, seen, self._tasks[job][index])
+                self._add_status(record, heartbeat, status, self._tasks[job][index])
 
-    def _add_status(self, record: JobRecord, heartbeat: wire.Heartbeat, seen: wire.TaskStatus, task: _Task) -> None:
-        task.attempt = max(task.attempt, seen.attempt)
+    def _add_status(
+        self, record: JobRecord, heartbeat: wire.Heartbeat, status: wire.TaskStatus, task: _TaskEvidence
+    ) -> None:
+        task.attempt = max(task.attempt, status.attempt)
         task.zone = task.zone or heartbeat.zone
-        if seen.state != wire.EXITED:
-            place = _Placement(seen.attempt, heartbeat.zone, heartbeat.machine, heartbeat.incarnation)
-            task.reported = _higher(task.reported, place)
-        elif seen.exit_reason == wire.REASON_DONE and record.spec.kind != wire.SERVICE:
+        if status.state != wire.EXITED:
+            place = _Placement(status.attempt, heartbeat.zone, heartbeat.machine, heartbeat.incarnation)
+            task.reported = _higher_attempt(task.reported, place)
+        elif status.exit_reason == wire.REASON_DONE and record.spec.kind != wire.SERVICE:
             task.ended = True
 
-    def _mark_unknown_job(self, job: str, heartbeat: wire.Heartbeat, seen: wire.TaskStatus) -> None:
-        """Marks a job without any record. A task of a terminal job is stopped later by its partition's owner."""
-        if job not in self._out.finals and seen.state != wire.EXITED:
+    def _mark_unknown_job(self, job: str, heartbeat: wire.Heartbeat, status: wire.TaskStatus) -> None:
+        """Marks a running job without any record as unresolved.
+
+        Running tasks of terminal jobs are stopped later by the partition owner.
+        """
+        if job not in self._out.finals and status.state != wire.EXITED:
             self._mark_unresolved(job, UnresolvedKind.UNKNOWN_JOB, f"runs on {heartbeat.machine}", 0)
 
-    def _placed(self, task: _Task) -> _Placement | None:
-        """Where the task runs, or may run; None if it runs nowhere."""
-        place = _higher(task.recorded, task.reported)
+    def _current_placement(self, task: _TaskEvidence) -> _Placement | None:
+        """Returns the placement under which the task runs or may run; None if it runs on no machine."""
+        place = _higher_attempt(task.recorded, task.reported)
         if place is not None and place is task.recorded and place.machine in self._evidence.heartbeats:
-            return task.reported  # its machine has sent a heartbeat without it
+            return task.reported  # the heartbeat of its machine does not list the recorded attempt
         return place
 
     # Records
@@ -256,37 +269,40 @@
         any_zone = next((task.zone for _, task in sorted(tasks.items()) if task.zone), "")
         attempt = max((task.attempt for task in tasks.values()), default=0)
         for index in range(admitted):
-            task = tasks.get(index) or _Task()
+            task = tasks.get(index) or _TaskEvidence()
             if record.spec.kind == wire.GANG:
-                task.attempt = attempt  # all members of a gang have the same
-            place = None if task.ended else self._placed(task)
+                task.attempt = attempt  # all members of a gang have the same attempt
+            place = None if task.ended else self._current_placement(task)
             zone = place.zone if place is not None else task.zone or any_zone
-            by_zone[zone].append(self._entry(index, task, place))
+            by_zone[zone].append(self._task_entry(index, task, place))
         chunk = 0
         for zone, entries in sorted(by_zone.items()):
             for at in range(0, len(entries), self._tasks_per_record):
                 allocation = AllocationKey(zone, job, chunk)
                 self._out.allocations[allocation] = AllocationRecord(entries[at : at + self._tasks_per_record])
                 chunk += 1
-        if 0 < admitted < record.spec.tasks:  # a job that is admitted as a whole needs no record
+        if 0 < admitted < record.spec.tasks:  # a completely admitted job needs no admission record
             self._out.admitted[job] = AdmissionRecord(admitted, chunk)
 
-    def _entry(self, index: int, task: _Task, place: _Placement | None) -> TaskEntry:
+    def _task_entry(self, index: int, task: _TaskEvidence, place: _Placement | None) -> TaskEntry:
         if task.ended:
             return TaskEntry(index, records.ENDED, task.attempt)
         if place is not None:
             return TaskEntry(index, records.ASSIGNED, place.attempt, place.machine, place.incarnation)
-        unseen = ATTEMPTS_UNSEEN if self._out.uncertain else 0
-        return TaskEntry(index, records.RETURNED, task.attempt + unseen)
+        margin = ATTEMPT_MARGIN if self._out.uncertain else 0
+        return TaskEntry(index, records.RETURNED, task.attempt + margin)
 
 
-def _age(source: Source) -> tuple[bool, int, str, str]:
-    """Sort key: older copies first."""
+def _oldest_first(source: Source) -> tuple[bool, int, str, str]:
+    """Sort key of copies: those of an ancestor history first, then by revision."""
     return source.kind is not SourceKind.ANCESTOR, source.revision, source.kind.value, source.name
 
 
-def _higher(one: _Placement | None, other: _Placement | None) -> _Placement | None:
-    """The placement of the higher attempt; of equal ones, that on the later incarnation, then by the machine's name."""
+def _higher_attempt(one: _Placement | None, other: _Placement | None) -> _Placement | None:
+    """Returns the placement of the higher attempt; of equal attempts, that of the later incarnation.
+
+    If these are equal as well, the lower machine name decides. Returns None if both are None.
+    """
     if one is None or other is None:
         return one or other
     if (one.attempt, one.incarnation) != (other.attempt, other.incarnation):
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -1,4 +1,4 @@
-"""What operators read about histories in the state service, and what they decide and delete there."""
+"""Operations of operators on the histories in the state service: read, initialize, resolve outcomes and purge."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 from spurarch.storage.store import Store
 from spurarch.storage.transaction import TransactionStatus
 
-PURGE_AT_ONCE = 4  # no state service allows fewer changes in a transaction
+PURGE_BATCH_KEYS = 4  # no state service allows fewer changes in a transaction
 
 
 class OperatorError(SpurarchError):
-    """A command can't be executed; the message says why."""
+    """A command can't be executed; the message gives the reason."""
 
 
 @dataclass(slots=True)
 class HistoryStatus:
-    """What the state service says about its histories."""
+    """The current history in the state service, its archived revision, rebuild claim and unresolved outcomes."""
 
     history: HistoryRecord | None = None
     is_open: bool = False
@@ -52,7 +52,10 @@
 
 
 async def read_status(store: Store) -> HistoryStatus:
-    """Reads the status. Raises `StoreUnavailableError`, as all functions here."""
+    """Reads the status.
+
+    Raises `StoreUnavailableError`, as do all functions of this module that take a store.
+    """
     status = HistoryStatus()
     page = await store.page(CURRENT, None)
     status.revision = page.revision
@@ -83,17 +86,18 @@
 async def declare_first_history(
     store: Store, adopt: bool, archived_answers: bool = False, installation: str = ""
 ) -> HistoryRecord:
-    """Declares the state service's data a new installation, or one that had no recovery so far.
+    """Opens the first history of a new installation or, with `adopt`, of one that had no recovery so far.
 
-    Only an operator can tell a new installation from one that was wiped, so no controller ever does this by itself.
+    Only an operator can distinguish a new installation from one that was wiped, so controllers never do this. Raises
+    `OperatorError` if there is a history, or if there are records and `adopt` is not set.
     """
     if await store.get(CURRENT) is not None:
         raise OperatorError("there is a history already (recovery status)")
     page = await store.page(records.LIVE, None)
-    own = [
+    record_keys = [
         item.key for item in page.items if not item.key.startswith((records.MEMBER, records.LEADER, records.PARTITION))
     ]
-    if own and not adopt:
+    if record_keys and not adopt:
         raise OperatorError("there are records already: --adopt declares them whole")
     history = HistoryRecord(os.urandom(6).hex(), 1, archived_answers=archived_answers, installation=installation)
     txn = wire.Txn(
@@ -105,19 +109,24 @@
 
 
 async def resolve_job(store: Store, job: str, state: str) -> None:
-    """Decides the final state of a job whose outcome is unresolved."""
-    history = await _history(store)
+    """Sets the final state of a job whose outcome is unresolved.
+
+    Raises `OperatorError` if it is not unresolved, has another final state on record, or the history is not open.
+    """
+    history = await _read_history(store)
     unresolved = await store.get(history.prefix + UNRESOLVED_PREFIX + job)
     if unresolved is None:
         raise OperatorError(f"{job} is not in doubt")
     key = history.prefix + records.FINAL + job
-    known = await store.get(key)
-    final = msgspec.json.decode(known.value, type=FinalRecord) if known is not None else FinalRecord(state, 0)
+    stored_final = await store.get(key)
+    final = (
+        msgspec.json.decode(stored_final.value, type=FinalRecord) if stored_final is not None else FinalRecord(state, 0)
+    )
     if final.state not in (records.UNRESOLVED, state):
         raise OperatorError(f"{job} is {final.state} on record")
-    guards = await _guards(store, history)
+    guards = await _open_guards(store, history)
     guards += [
-        wire.Guard(key, known.version if known is not None else 0),
+        wire.Guard(key, stored_final.version if stored_final is not None else 0),
         wire.Guard(unresolved.key, unresolved.version),
     ]
     changes: list[wire.Put | wire.Delete] = [
@@ -128,27 +137,33 @@
 
 
 async def resolve_unknown_jobs(store: Store) -> None:
-    """Declares that jobs which are not on record were never accepted: requests for them get 404 from then on."""
-    history = await _history(store)
+    """Declares that jobs which are not on record were never accepted, so that requests for them get status 404.
+
+    Raises `OperatorError` if the history does not lack jobs, or is not open.
+    """
+    history = await _read_history(store)
     if not history.uncertain:
         raise OperatorError("nothing is uncertain")
     current = await store.get(CURRENT)
     version = current.version if current is not None else 0
     certain = msgspec.structs.replace(history, uncertain=False)
-    guards = [*await _guards(store, history), wire.Guard(CURRENT, version)]
+    guards = [*await _open_guards(store, history), wire.Guard(CURRENT, version)]
     await _commit(store, wire.Txn(guards, [wire.Put(CURRENT, certain)]))
 
 
 async def purge(store: Store) -> int:
-    """Deletes what earlier histories left in the state service; returns the number of keys."""
-    history = await _history(store)
-    guards = await _guards(store, history)
+    """Deletes the keys that earlier histories left in the state service; returns their number.
+
+    Raises `OperatorError` if the history is not open.
+    """
+    history = await _read_history(store)
+    guards = await _open_guards(store, history)
     count, after = 0, None
     while True:
         page = await store.page("", after)
         obsolete = [item.key for item in page.items if _is_obsolete(item.key, history)]
-        for at in range(0, len(obsolete), PURGE_AT_ONCE):
-            batch = obsolete[at : at + PURGE_AT_ONCE]
+        for at in range(0, len(obsolete), PURGE_BATCH_KEYS):
+            batch = obsolete[at : at + PURGE_BATCH_KEYS]
             await _commit(store, wire.Txn(guards, [wire.Delete(key) for key in batch]))
             count += len(batch)
         if not page.more or not page.items:
@@ -157,24 +172,25 @@
 
 
 def _is_obsolete(key: str, history: HistoryRecord) -> bool:
-    """Whether no controller that works in the history reads the key.
+    """Whether no controller that uses the open history reads the key.
 
-    The first history's leader record is kept, since it keeps earlier versions from leading. While the history is open,
-    nothing is being rebuilt: the key of a rebuild is left from one that was abandoned.
+    The leader record under the first history's key is kept, because it prevents controllers of a version without
+    recovery from becoming leader. No rebuild runs while the history is open, so a rebuild's key is from an abandoned
+    one.
     """
     if history.number == 1 or key.startswith(HISTORY):
         return key.startswith(REBUILD)
     return is_record_key(key) and not key.startswith(history.prefix) and key != records.LEADER
 
 
-async def _history(store: Store) -> HistoryRecord:
+async def _read_history(store: Store) -> HistoryRecord:
     item = await store.get(CURRENT)
     if item is None:
         raise OperatorError("there is no history (recovery init)")
     return decode_history(item.value)
 
 
-async def _guards(store: Store, history: HistoryRecord) -> list[wire.Guard]:
+async def _open_guards(store: Store, history: HistoryRecord) -> list[wire.Guard]:
     marker = await store.get(OPEN + history.name)
     if marker is None:
         raise OperatorError("the records are being rebuilt")
--- a/spurarch/recovery/rebuilt_records.py
+++ b/spurarch/recovery/rebuilt_records.py
@@ -1,4 +1,4 @@
-"""What a rebuild produces: the records of the next history, and the outcomes that operators have to decide."""
+"""The output of a merge: the records of the next history, and the outcomes that operators have to resolve."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class UnresolvedKind(enum.Enum):
-    """Why an outcome is unresolved, with the text that is stored."""
+    """Why an outcome is unresolved; the values are stored."""
 
-    OUTCOME = "outcome"  # the job is terminal; whether done or cancelled is not on record
-    CONFLICT = "conflict"  # two final states
-    UNKNOWN_JOB = "unknown job"  # a worker runs a task of a job that no record describes
+    OUTCOME = "outcome"  # the job is terminal, but no record says whether it was done or cancelled
+    CONFLICT = "conflict"  # the copies have different final states
+    UNKNOWN_JOB = "unknown job"  # a worker runs a task of a job without a record
 
 
 class UnresolvedOutcome(Struct, frozen=True, order=True):
-    """An outcome that only an operator can decide."""
+    """An outcome of a job that only an operator can resolve."""
 
     job: str
     kind: str  # value of an `UnresolvedKind`
@@ -28,12 +28,17 @@
 
 @dataclass(slots=True)
 class RebuiltRecords:
-    """The records that the next history begins with."""
+    """The records that the next history begins with.
+
+    Attributes:
+        set_aside: Number of unreadable records and of invalid task entries in heartbeats, all of which were ignored.
+        uncertain: Jobs may have been accepted or ended without any remaining record.
+    """
 
     jobs: dict[str, JobRecord] = field(default_factory=dict)
     admitted: dict[str, AdmissionRecord] = field(default_factory=dict)
     allocations: dict[AllocationKey, AllocationRecord] = field(default_factory=dict)
     finals: dict[str, FinalRecord] = field(default_factory=dict)
     unresolved: list[UnresolvedOutcome] = field(default_factory=list)
-    set_aside: int = 0  # unreadable records and entries of heartbeats, which were ignored
-    uncertain: bool = False  # jobs may have been accepted or ended without a trace
+    set_aside: int = 0
+    uncertain: bool = False
