--- a/spurarch/archive/__init__.py
+++ b/spurarch/archive/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps a copy of the state service's data on the disk of an operators' machine, and a log of its changes."""
+"""Archives the state service's records, as snapshots and change logs on the disk of an operators' machine."""
--- a/spurarch/archive/changes.py
+++ b/spurarch/archive/changes.py
@@ -1,4 +1,4 @@
-"""Translates changes of the state service to entries of the archive."""
+"""Translates changes in the state service into archive entries."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
 from spurarch.storage.records import FINAL, LIVE
 from spurarch.storage.seeds import SEED
 
-PREFIXES = (LIVE, FINAL, PACKED, SEED)  # of the keys that are archived, without those in `UNARCHIVED`
+ARCHIVED_PREFIXES = (LIVE, FINAL, PACKED, SEED)  # except keys that start with a prefix in `UNARCHIVED`
 
 
 class HistoryEndedError(SpurarchError):
-    """The history must not be followed any more; the message says why.
+    """The followed history has ended; the message is the reason.
 
-    With `data_went_back`, the state service shows data that is older than what was read before.
+    Attributes:
+        data_rolled_back: The state service returned data older than what was read from it before.
     """
 
-    def __init__(self, reason: str, data_went_back: bool = False) -> None:
+    def __init__(self, reason: str, data_rolled_back: bool = False) -> None:
         super().__init__(reason)
-        self.data_went_back = data_went_back
+        self.data_rolled_back = data_rolled_back
 
 
-def record_entries(history: HistoryRecord, changes: wire.Changes) -> list[Entry]:
-    """The changes of a history's records, in order; raises `HistoryEndedError` if one shows that the history ended."""
+def to_archive_entries(history: HistoryRecord, changes: wire.Changes) -> list[Entry]:
+    """Returns the changes to a history's archived records, by ascending revision.
+
+    Raises `HistoryEndedError` if a change shows that the history has ended.
+    """
     entries = []
     for event in sorted(changes.events, key=lambda event: event.version):
         key = event.put or event.delete or ""
@@ -46,8 +50,8 @@
         if not key.startswith(history.prefix):
             if event.put is None or key.startswith(UNARCHIVED) or not is_record_key(key):
                 continue
-            raise HistoryEndedError(f"{key} was written outside it")
+            raise HistoryEndedError(f"{key} was written outside the history")
         key = key[len(history.prefix) :]
-        if key.startswith(PREFIXES) and not key.startswith(UNARCHIVED):
+        if key.startswith(ARCHIVED_PREFIXES) and not key.startswith(UNARCHIVED):
             entries.append(Entry(event.version, key, bytes(event.value) if event.put else None))
     return entries
--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -1,4 +1,4 @@
-"""The commands `spurarch archive ...`, for an operators' machine that has a disk."""
+"""The `spurarch archive` commands, which run on an operators' machine with a disk."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     EmptyArchiveError,
     files,
     histories,
-    locked,
+    lock_archive,
     prune,
 )
 from spurarch.archive.follower import Follower, OtherInstallationError
 from spurarch.archive.format import DamagedFileError
 from spurarch.archive.progress import RivalArchiverError
 from spurarch.archive.reader import read_state, verify
-from spurarch.archive.server import ArchiveServer, history_of
+from spurarch.archive.server import ArchiveServer, history_record
 from spurarch.archive.state import ArchivedState
 from spurarch.settings import Platform, SettingsError, load_platform
 from spurarch.storage.store import Store
@@ -29,14 +29,14 @@
 
 log = logging.getLogger(__name__)
 
-USAGE, FAILED = 2, 1
-CONNECTIONS = 4
+EXIT_USAGE, EXIT_FAILURE = 2, 1
+STORE_CONNECTIONS = 4
 SERVER_CONNECTIONS = 64
-RATE_SHARE = 0.1  # of the state service's rates, taken beside those of the controllers
+RATE_SHARE = 0.1  # of the state service's rate limits, in addition to the controllers' shares
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Adds the commands to the command line."""
+    """Adds the `archive` command and its actions to the command line."""
     text = "keep, check and read the archive of the state service's data"
     parser = commands.add_parser("archive", help=text, description=text)
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
@@ -61,35 +61,38 @@
 
 
 def run_command(args: argparse.Namespace) -> int:
-    """Runs a command and returns its exit code."""
+    """Runs an `archive` action and returns its exit code: 0, `EXIT_FAILURE` or `EXIT_USAGE`."""
     actions = {"run": _run, "serve": _serve, "show": _show, "list": _list, "verify": _verify, "prune": _prune}
     try:
         return actions[args.action](args)
     except (DamagedFileError, EmptyArchiveError, ArchiveBusyError, SettingsError, OtherInstallationError) as err:
         print(f"spurarch: {err}", file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     except RivalArchiverError as err:
         print(f"spurarch: {err}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
     except OSError as err:
         print(f"spurarch: {err.filename or args.directory}: {err.strerror or err}", file=sys.stderr)
-        return FAILED
+        return EXIT_FAILURE
 
 
-def newest_archived(root: Path) -> ArchivedState | None:
-    """The newest state of the newest history that an earlier archiver left; None if there is none."""
-    found = histories(root)
+def read_newest_state(root: Path) -> ArchivedState | None:
+    """Returns the newest state of the newest history on disk; None if there is none.
+
+    Raises `DamagedFileError`.
+    """
+    directories = histories(root)
     try:
-        return read_state(found[-1]) if found else None
+        return read_state(directories[-1]) if directories else None
     except EmptyArchiveError:
         return None
 
 
-def archived_history(root: Path, name: str) -> ArchivedState | None:
-    """The newest state of a history by its name; None if there is none, or it can't be read."""
-    found = [path for path in histories(root) if path.name.endswith(f"-{name}")] if name else []
+def read_history_state(root: Path, name: str) -> ArchivedState | None:
+    """Returns the newest state of the named history; None if it isn't archived or can't be read."""
+    directories = [path for path in histories(root) if path.name.endswith(f"-{name}")] if name else []
     try:
-        return read_state(found[-1]) if found else None
+        return read_state(directories[-1]) if directories else None
     except (EmptyArchiveError, DamagedFileError) as err:
         log.error("archived history unreadable history=%s error=%s", name, err)
         return None
@@ -98,19 +101,19 @@
 async def serve(
     platform: Platform, root: Path, listen: str, network: Network | None = None, installation: str = ""
 ) -> None:
-    """Follows the state service and serves what is archived, until cancelled.
+    """Archives the state service's records and serves them to controllers, until cancelled.
 
     Raises `OtherInstallationError`, `RivalArchiverError`, `DamagedFileError` or `OSError`.
     """
     network = network or Network()
     limits = platform.deployment.state
-    store = Store(network.client(platform.external.state, CONNECTIONS), limits, 1)
+    store = Store(network.client(platform.external.state, STORE_CONNECTIONS), limits, 1)
     store.rates.set_shares(RATE_SHARE, RATE_SHARE)
-    earlier = newest_archived(root)
-    if earlier is not None and (found := history_of(earlier).installation) != installation:
-        raise OtherInstallationError(f"{root}: the archive is of installation {found!r}, not {installation!r}")
-    follower = Follower(store, root, earlier, installation)
-    server = ArchiveServer(lambda: follower.state, lambda name: archived_history(root, name))
+    previous = read_newest_state(root)
+    if previous is not None and (archived := history_record(previous).installation) != installation:
+        raise OtherInstallationError(f"{root}: the archive is of installation {archived!r}, not {installation!r}")
+    follower = Follower(store, root, previous, installation)
+    server = ArchiveServer(lambda: follower.state, lambda name: read_history_state(root, name))
     async with curio.TaskGroup(wait=any) as group:
         await group.spawn(network.server(listen, server.handle, SERVER_CONNECTIONS).run)
         following = await group.spawn(follower.run)
@@ -123,37 +126,38 @@
 
 def _run(args: argparse.Namespace) -> int:
     platform = load_platform(args.config)
-    with locked(args.directory):
+    with lock_archive(args.directory):
         try:
             curio.run(serve, platform, args.directory, args.listen, None, args.installation)
         except KeyboardInterrupt:
             return 0
-    return FAILED
+    return EXIT_FAILURE
 
 
 def _serve(args: argparse.Namespace) -> int:
-    """Serves a fixed state; controllers that start with an empty state service rebuild the records from it."""
-    state = read_state(_directory(args), args.revision)
+    """Serves one fixed state, from which controllers that start with an empty state service rebuild the records."""
+    state = read_state(_selected_history(args), args.revision)
     server = ArchiveServer(lambda: state, lambda _name: None)
     print(f"serving history {state.history} as of revision {state.revision}", flush=True)
     try:
         curio.run(Network().server(args.listen, server.handle, SERVER_CONNECTIONS).run)
     except KeyboardInterrupt:
         return 0
-    return FAILED
+    return EXIT_FAILURE
 
 
-def _directory(args: argparse.Namespace) -> Path:
-    found: list[Path] = histories(args.directory)
+def _selected_history(args: argparse.Namespace) -> Path:
+    """Returns the directory of the history named by `--history`, else of the newest. Raises `EmptyArchiveError`."""
+    directories: list[Path] = histories(args.directory)
     if args.history:
-        found = [path for path in found if path.name.endswith(f"-{args.history}")]
-    if not found:
+        directories = [path for path in directories if path.name.endswith(f"-{args.history}")]
+    if not directories:
         raise EmptyArchiveError(f"{args.directory}: no such history" if args.history else f"{args.directory}: empty")
-    return found[-1]
+    return directories[-1]
 
 
 def _show(args: argparse.Namespace) -> int:
-    state = read_state(_directory(args), args.revision)
+    state = read_state(_selected_history(args), args.revision)
     print(f"# history {state.history}, revision {state.revision}, {len(state.records)} records")
     for key in sorted(state.records):
         if key.startswith(args.prefix):
@@ -172,13 +176,13 @@
 
 
 def _verify(args: argparse.Namespace) -> int:
-    state = verify(_directory(args))
+    state = verify(_selected_history(args))
     print(f"history {state.history} is good up to revision {state.revision}: {len(state.records)} records")
     return 0
 
 
 def _prune(args: argparse.Namespace) -> int:
-    with locked(args.directory):
+    with lock_archive(args.directory):
         for directory in histories(args.directory):
             for path in prune(directory, max(1, args.keep)):
                 print(f"removed {directory.name}/{path.name}")
--- a/spurarch/archive/progress.py
+++ b/spurarch/archive/progress.py
@@ -1,4 +1,4 @@
-"""Publishes in the state service how far a history is archived."""
+"""Publishes in the state service the revision up to which a history is archived."""
 
 from __future__ import annotations
 
@@ -13,51 +13,51 @@
 from spurarch.storage.store import Store
 from spurarch.storage.transaction import TransactionStatus
 
-PUBLISH_INTERVAL_S = 0.5  # each is a change of the state service, while records change
-RIVAL_WAIT_S = 1.5  # another archiver that publishes within this time is running
+PUBLISH_INTERVAL_S = 0.5  # limits the writes to the state service while records change
+RIVAL_DETECTION_S = 1.5  # another archiver is running if it publishes within this time
 
 
 class RivalArchiverError(SpurarchError):
-    """Another archiver has published its progress a moment ago."""
+    """Another archiver is running: it published its progress within `RIVAL_DETECTION_S` seconds."""
 
 
 class ProgressPublisher:
-    """Tells the partition owners which revision is on disk, in the name of one archiver process."""
+    """Publishes the newest revision on disk to the partition owners, as one archiver process."""
 
-    def __init__(self, store: Store, archiver: str) -> None:
-        self._store, self._archiver = store, archiver
-        self._published, self._next_at = 0, 0.0
+    def __init__(self, store: Store, archiver_id: str) -> None:
+        self._store, self._archiver_id = store, archiver_id
+        self._published_revision, self._next_publish_at = 0, 0.0
 
     def reset(self) -> None:
-        """Starts again with another history."""
-        self._published, self._next_at = 0, 0.0
+        """Clears the progress, before another history is archived."""
+        self._published_revision, self._next_publish_at = 0, 0.0
 
-    def covers(self, revision: int) -> bool:
-        """Whether the revision was published."""
-        return revision <= self._published
+    def is_published(self, revision: int) -> bool:
+        """Whether this or a higher revision was published."""
+        return revision <= self._published_revision
 
-    def seconds_left(self, now: float) -> float:
-        """How long until progress may be published again."""
-        return max(0.0, self._next_at - now)
+    def seconds_until_due(self, now: float) -> float:
+        """Returns the seconds until progress may be published again; `now` is a time of the monotonic clock."""
+        return max(0.0, self._next_publish_at - now)
 
     async def publish(self, history: str, marker_version: int, revision: int) -> bool:
-        """Publishes a revision if it is new and the time has come; False if the history was sealed."""
-        if self.covers(revision) or time.monotonic() < self._next_at:
+        """Publishes a revision if it is new and `PUBLISH_INTERVAL_S` has passed; False if the history was sealed."""
+        if self.is_published(revision) or time.monotonic() < self._next_publish_at:
             return True
-        self._next_at = time.monotonic() + PUBLISH_INTERVAL_S
-        record = ArchivedRecord(history, revision, self._archiver)
+        self._next_publish_at = time.monotonic() + PUBLISH_INTERVAL_S
+        record = ArchivedRecord(history, revision, self._archiver_id)
         txn = wire.Txn([wire.Guard(OPEN + history, marker_version)], [wire.Put(ARCHIVED, record)])
         result = await self._store.txn(txn, Urgency.USERS)
         if result.status is TransactionStatus.COMMITTED:
-            self._published = revision
+            self._published_revision = revision
         return result.status is not TransactionStatus.CONFLICT
 
-    async def refuse_rival(self) -> None:
-        """Raises `RivalArchiverError` if another archiver runs: each would publish its own progress only."""
+    async def check_no_rival(self) -> None:
+        """Raises `RivalArchiverError` if another archiver is running: each would overwrite the other's progress."""
         first = await self._store.get(ARCHIVED)
         if first is None:
             return
-        await curio.sleep(RIVAL_WAIT_S)
-        again = await self._store.get(ARCHIVED)
-        if again is not None and again.version != first.version:
-            raise RivalArchiverError(f"archiver {decode_archived(again.value).archiver} is at work")
+        await curio.sleep(RIVAL_DETECTION_S)
+        second = await self._store.get(ARCHIVED)
+        if second is not None and second.version != first.version:
+            raise RivalArchiverError(f"archiver {decode_archived(second.value).archiver} is at work")
--- a/spurarch/archive/reader.py
+++ b/spurarch/archive/reader.py
@@ -1,4 +1,4 @@
-"""Reads a history from the archive's files: the newest usable snapshot and the change logs that follow it."""
+"""Reads a history from the archive's files: a snapshot and the change logs that follow it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 SYNC_MARKER_BYTES = 16
 
 
-def usable_blocks(path: Path) -> Iterator[Block]:
-    """Reads the blocks of a log up to its end or a torn last block.
+def read_log_blocks(path: Path) -> Iterator[Block]:
+    """Yields the blocks of a change log, without a torn last block.
 
-    Raises `DamagedFileError` for a damaged block that others follow.
+    Raises `DamagedFileError` if a block is damaged and others follow it.
     """
     blocks = read_blocks(path)
     while True:
@@ -34,44 +34,46 @@
 
 
 def _is_last_block_torn(path: Path) -> bool:
-    """Whether the file ends within the block that can't be read: no sync marker follows it."""
-    end = 0
+    """Whether the file ends within its first unreadable block, so that no sync marker follows."""
+    readable_end = 0
     try:
         for block in read_blocks(path):
-            end = block.end
+            readable_end = block.end_offset
     except DamagedFileError:
         pass
     data = path.read_bytes()
-    marker = _sync_marker(data)
-    return marker is None or marker not in data[max(end, data.find(marker) + len(marker)) :]
+    marker = _read_sync_marker(data)
+    return marker is None or marker not in data[max(readable_end, data.find(marker) + len(marker)) :]
 
 
-def _sync_marker(data: bytes) -> bytes | None:
-    """The bytes that end the header and each block; None if there is no readable header."""
+def _read_sync_marker(data: bytes) -> bytes | None:
+    """Returns the bytes that end the header and each block; None if the header can't be read."""
     stream = io.BytesIO(data)
     try:
         reader = fastavro.block_reader(stream)
-    except Exception:  # the library raises many kinds
+    except Exception:  # fastavro raises many exception types
         return None
     del reader
     return data[stream.tell() - SYNC_MARKER_BYTES : stream.tell()]
 
 
 def read_state(directory: Path, revision: int | None = None) -> ArchivedState:
-    """Reads the records of a history at its newest revision, or at the newest up to `revision`.
+    """Reads the records of a history at its newest revision, or at the newest one up to `revision`.
 
-    Raises `EmptyArchiveError` without a snapshot, `DamagedFileError` if a file can't be trusted.
+    Raises `EmptyArchiveError` if there is no snapshot, `DamagedFileError` if a file is damaged or missing.
     """
-    found = files(directory)
+    complete = files(directory)
     snapshots = [
-        f for f in found if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
+        f
+        for f in complete
+        if f.header.kind is FileKind.SNAPSHOT and (revision is None or f.header.revision <= revision)
     ]
     if not snapshots:
         raise EmptyArchiveError(f"{directory.name}: no snapshot up to revision {revision}")
     newest = snapshots[-1]
-    state = ArchivedState(newest.header.history, newest.header.number, newest.header.revision)
+    state = ArchivedState(newest.header.history, newest.header.history_number, newest.header.revision)
     _load_snapshot(newest, state)
-    for log in found:
+    for log in complete:
         if log.header.kind is FileKind.LOG and log.header.revision >= newest.header.revision:
             _check_same_history(newest, log)
             _replay(log, state, revision)
@@ -82,9 +84,9 @@
     for block in read_blocks(snapshot.path):
         for entry in block.entries:
             state.records[entry.key] = entry
-    if len(state.records) != snapshot.header.count:
+    if len(state.records) != snapshot.header.record_count:
         raise DamagedFileError(
-            f"{snapshot.path.name}: {len(state.records)} records of {snapshot.header.count}: a block is missing"
+            f"{snapshot.path.name}: {len(state.records)} records of {snapshot.header.record_count}: a block is missing"
         )
 
 
@@ -96,7 +98,7 @@
 def _replay(log: ArchiveFile, state: ArchivedState, revision: int | None) -> None:
     if log.header.revision > state.revision:
         raise DamagedFileError(f"{log.path.name}: begins after {log.header.revision}, what comes before is missing")
-    for block in usable_blocks(log.path):
+    for block in read_log_blocks(log.path):
         for entry in block.entries:
             if revision is None or entry.revision <= revision:
                 state.apply(entry)
@@ -105,9 +107,9 @@
 def verify(directory: Path) -> ArchivedState:
     """Reads every file of a history and returns its newest state.
 
-    Raises `DamagedFileError`, which names file and block.
+    Raises `EmptyArchiveError` or `DamagedFileError`.
     """
     for file in files(directory):
-        for _ in usable_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
+        for _ in read_log_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
             pass
     return read_state(directory)
--- a/spurarch/archive/server.py
+++ b/spurarch/archive/server.py
@@ -1,4 +1,4 @@
-"""Serves the archived records to controllers that rebuild them."""
+"""Serves the archived records to controllers that rebuild the records of the state service."""
 
 from __future__ import annotations
 
@@ -16,56 +16,61 @@
 
 
 class ArchiveServer:
-    """Serves the newest state, also after its history was sealed, and earlier histories from disk.
+    """Serves the newest state, also after its history was sealed, and older histories from disk.
 
-    `newest` returns the newest state, `earlier` that of a history by its name.
+    `newest_state` returns the newest state, `read_history` the newest state of the named history; None if there is
+    none.
     """
 
     def __init__(
-        self, newest: Callable[[], ArchivedState | None], earlier: Callable[[str], ArchivedState | None]
+        self, newest_state: Callable[[], ArchivedState | None], read_history: Callable[[str], ArchivedState | None]
     ) -> None:
-        self._newest, self._earlier = newest, earlier
-        self._stored: list[StoredRecord] = []
-        self._served: ArchivedState | None = None  # what `_stored` holds, without the records
+        self._newest_state, self._read_history = newest_state, read_history
+        self._served_records: list[StoredRecord] = []
+        self._served_state: ArchivedState | None = None  # revision of `_served_records`; holds no records
 
     async def handle(self, request: Request) -> Response:
-        """Answers an HTTP request."""
+        """Handles an HTTP request."""
         url = urlsplit(request.target)
         if request.method != "GET":
-            return _error(405, "use GET")
-        state = self._newest()
+            return _error_response(405, "use GET")
+        state = self._newest_state()
         if url.path == PATH_HEAD:
             head = _head(state) if state is not None else ArchiveHead(None, 0, 0)
             return Response(200, msgspec.json.encode(head))
         if url.path == PATH_RECORDS:
             return self._records(state, {name: values[0] for name, values in parse_qs(url.query).items()})
-        return _error(404, "no such path")
+        return _error_response(404, "no such path")
 
     def _records(self, newest: ArchivedState | None, query: dict[str, str]) -> Response:
         history, position = query.get("history", ""), query.get("position", "0")
         if not position.isdigit():
-            return _error(400, "position: a count is expected")
+            return _error_response(400, "position: a count is expected")
         if newest is not None and newest.history == history:
-            self._prepare(newest)
-        elif self._served is None or self._served.history != history:
-            earlier = self._earlier(history)
-            if earlier is None:
-                return _error(404, "history: not archived here")
-            self._prepare(earlier)
-        assert self._served is not None
-        page = page_of(self._stored, int(position))
-        return Response(200, msgspec.msgpack.encode(ArchivePage(self._served.revision, page.records, page.position)))
-
-    def _prepare(self, state: ArchivedState) -> None:
-        """Lists the records of a state, so that all its pages are cut from one list."""
-        served = self._served
+            self._list_records(newest)
+        elif self._served_state is None or self._served_state.history != history:
+            older = self._read_history(history)
+            if older is None:
+                return _error_response(404, "history: not archived here")
+            self._list_records(older)
+        assert self._served_state is not None
+        page = page_of(self._served_records, int(position))
+        return Response(
+            200, msgspec.msgpack.encode(ArchivePage(self._served_state.revision, page.records, page.position))
+        )
+
+    def _list_records(self, state: ArchivedState) -> None:
+        """Lists the records of a state once, so that all its pages are consistent."""
+        served = self._served_state
         if served is None or (state.history, state.revision) != (served.history, served.revision):
-            self._stored = [StoredRecord(key, e.revision, e.value or b"") for key, e in sorted(state.records.items())]
-            self._served = ArchivedState(state.history, state.number, state.revision)
+            self._served_records = [
+                StoredRecord(key, e.revision, e.value or b"") for key, e in sorted(state.records.items())
+            ]
+            self._served_state = ArchivedState(state.history, state.number, state.revision)
 
 
-def history_of(state: ArchivedState) -> HistoryRecord:
-    """The record of the history that a state is of."""
+def history_record(state: ArchivedState) -> HistoryRecord:
+    """Returns the history record of a state; one with only name and number if the state contains none."""
     current = state.records.get(CURRENT)
     if current is None or current.value is None:
         return HistoryRecord(state.history, state.number)
@@ -73,8 +78,8 @@
 
 
 def _head(state: ArchivedState) -> ArchiveHead:
-    return ArchiveHead(history_of(state), state.revision, len(state.records))
+    return ArchiveHead(history_record(state), state.revision, len(state.records))
 
 
-def _error(status: int, message: str) -> Response:
+def _error_response(status: int, message: str) -> Response:
     return Response(status, wire.encode(wire.ErrorBody(message)))
--- a/spurarch/archive/state.py
+++ b/spurarch/archive/state.py
@@ -1,4 +1,4 @@
-"""The records of a history as the archive has them."""
+"""The archived records of a history."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     records: dict[str, Entry] = field(default_factory=dict)
 
     def apply(self, entry: Entry) -> None:
-        """Applies a change, or a mark, which raises the revision."""
-        if entry.is_mark:
+        """Applies a change to the records; an end mark raises the revision instead."""
+        if entry.is_end_mark:
             self.revision = max(self.revision, entry.revision)
         elif entry.value is None:
             self.records.pop(entry.key, None)
--- a/spurarch/archive/writer.py
+++ b/spurarch/archive/writer.py
@@ -1,4 +1,4 @@
-"""Writes a history to the archive, and keeps the state that the files add up to."""
+"""Writes a history to the archive, and keeps the state that the files contain."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_LOG_BYTES = 8 << 20  # of a change log, after which a new snapshot is written
+MAX_LOG_BYTES = 8 << 20  # a larger change log is followed by a new snapshot
 
 
 class ArchiveWriter:
-    """A snapshot and the change log that follows it; a new snapshot once the log is long. Methods raise `OSError`."""
+    """Writes a snapshot and a change log; new ones once the log exceeds `MAX_LOG_BYTES`. Methods raise `OSError`."""
 
     def __init__(self, root: Path) -> None:
         self._root = root
-        self.snapshots = 0  # written so far
+        self.snapshot_count = 0
 
-    def begin(self, state: ArchivedState) -> None:
-        """Writes a snapshot and begins a change log after it."""
+    def start_log(self, state: ArchivedState) -> None:
+        """Writes a snapshot and starts a change log after it."""
         write_snapshot(self._root, state)
         self._state, self._log = state, ChangeLog(self._root, state)
-        self.snapshots += 1
+        self.snapshot_count += 1
         log.info("archive snapshot written records=%d revision=%d", len(state.records), state.revision)
 
     def append(self, entries: list[Entry], revision: int) -> None:
-        """Writes changes that are complete up to a revision, then applies them to the state."""
+        """Writes all changes up to a revision to disk, then applies them to the state."""
         self._log.append(entries, revision)
         for entry in entries:
             self._state.apply(entry)
         self._state.revision = revision
-        if self._log.bytes > SNAPSHOT_LOG_BYTES:
-            self.begin(self._state)
+        if self._log.bytes > MAX_LOG_BYTES:
+            self.start_log(self._state)
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -13,7 +13,7 @@
 
 from spurarch.archive import directory as archive
 from spurarch.archive import format as files
-from spurarch.archive.commands import newest_archived
+from spurarch.archive.commands import read_newest_state
 from spurarch.archive.directory import ArchiveBusyError, ChangeLog, EmptyArchiveError
 from spurarch.archive.follower import Follower, FollowerPhase
 from spurarch.archive.format import DamagedFileError, Entry, FileHeader, FileKind
@@ -73,7 +73,7 @@
     where = small_archive(tmp_path)
     log = next(f.path for f in archive.files(where) if f.header.kind is FileKind.LOG)
     whole = log.read_bytes()
-    ends = [block.end for block in files.read_blocks(log)]
+    ends = [block.end_offset for block in files.read_blocks(log)]
     header_end = ends[0] - (ends[1] - ends[0])
     revisions = [20, 30, 40, 50]
     for length in range(max(header_end, ends[0] - 20), len(whole) + 1, 3):
@@ -87,7 +87,7 @@
     where = small_archive(tmp_path)
     file = next(f.path for f in archive.files(where) if f.header.kind.value == which)
     whole = bytearray(file.read_bytes())
-    first_end = next(files.read_blocks(file)).end
+    first_end = next(files.read_blocks(file)).end_offset
     found = set()
     for at in range(first_end - 40, first_end, 2):
         altered = bytearray(whole)
@@ -103,7 +103,7 @@
     archive.write_snapshot(tmp_path, point(10, 5000))
     where = archive.histories(tmp_path)[0]
     file = archive.files(where)[0].path
-    blocks = [block.end for block in files.read_blocks(file)]
+    blocks = [block.end_offset for block in files.read_blocks(file)]
     assert len(blocks) > 2
     file.write_bytes(file.read_bytes()[: blocks[-2]])
     with pytest.raises(DamagedFileError, match="a block is missing"):
@@ -170,7 +170,7 @@
 
 
 def test_two_archivers_do_not_share_a_directory(tmp_path: Path) -> None:
-    with archive.locked(tmp_path), pytest.raises(ArchiveBusyError), archive.locked(tmp_path):
+    with archive.lock_archive(tmp_path), pytest.raises(ArchiveBusyError), archive.lock_archive(tmp_path):
         pass
 
 
@@ -234,7 +234,7 @@
 
     async def begin(self) -> tuple[Follower, Any]:
         """Starts an archiver on the disk as it is."""
-        follower = Follower(self.client, self.root, newest_archived(self.root))
+        follower = Follower(self.client, self.root, read_newest_state(self.root))
         return follower, await curio.spawn(follower.run, daemon=True)
 
     def put(self, key: str, value: object) -> None:
@@ -255,7 +255,7 @@
 
     def archived(self) -> dict[str, Any]:
         """What it holds."""
-        newest = newest_archived(self.root)
+        newest = read_newest_state(self.root)
         assert newest is not None
         return {key: json.loads(e.value or b"null") for key, e in newest.records.items() if key != CURRENT}
 
@@ -306,7 +306,7 @@
         world.store.revision += 10_001
         world.put("live/job/job-1", "x")
         await curio.sleep(30)
-        assert follower.snapshots == 2
+        assert follower.snapshot_count == 2
         assert world.archived() == {"live/job/job-1": "x"}
 
     world.run(main)
@@ -323,7 +323,7 @@
             await curio.sleep(0.07)
             published = world.store.keys.get(ARCHIVED)
             if published is not None:
-                newest = newest_archived(tmp_path)
+                newest = read_newest_state(tmp_path)
                 assert newest is not None
                 assert newest.revision >= published[0]["revision"]
         await curio.sleep(2)
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -12,7 +12,7 @@
 from spurarch.archive.directory import histories
 from spurarch.archive.follower import Follower, OtherInstallationError
 from spurarch.archive.reader import read_state
-from spurarch.archive.server import history_of
+from spurarch.archive.server import history_record
 from spurarch.cli import main
 from spurarch.protocol import wire
 from spurarch.recovery import operators
@@ -178,7 +178,7 @@
         await task.cancel()
 
     with_store(story)
-    assert history_of(read_state(histories(tmp_path)[0])).installation == "here"
+    assert history_record(read_state(histories(tmp_path)[0])).installation == "here"
 
 
 def test_controllers_do_not_serve_records_of_another_installation() -> None:
