--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -1,4 +1,4 @@
-"""The picture that evidence gives: the same in any order, and never more than the evidence says."""
+"""Merging evidence of a lost history must not depend on the order of the evidence, nor state more than it proves."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     return out
 
 
-LIVE = {
+LIVE_RECORDS = {
     job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0)),
     "live/allot/a/job-1/0": (
         8,
@@ -79,52 +79,53 @@
 }
 
 
-def test_a_task_that_its_worker_shows_stays_there() -> None:
+def test_a_task_in_its_workers_heartbeat_stays_assigned() -> None:
     rebuilt = merge(
         evidence(
-            source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1", ("job-1/0", 1, "running", None))]
+            source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS),
+            heartbeats=[report("vm-1", ("job-1/0", 1, "running", None))],
         ),
         CHUNK,
     )
     assert entries(rebuilt, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
 
 
-def test_a_task_that_its_worker_lacks_goes_back_to_the_leader() -> None:
-    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE), heartbeats=[report("vm-1")]), CHUNK)
+def test_a_task_missing_from_its_workers_heartbeat_is_returned_to_the_leader() -> None:
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS), heartbeats=[report("vm-1")]), CHUNK)
     assert entries(rebuilt, "job-1")[0].state == RETURNED
 
 
-def test_a_task_on_a_worker_that_was_not_heard_stays_on_it() -> None:
-    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
+def test_a_task_on_a_worker_without_a_heartbeat_stays_assigned() -> None:
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS)), CHUNK)
     assert entries(rebuilt, "job-1")[0] == TaskEntry(0, ASSIGNED, 1, "vm-1", 1)
 
 
-def test_free_tasks_go_back_to_the_leader_who_keeps_the_limits_of_teams() -> None:
-    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE)), CHUNK)
+def test_unassigned_tasks_are_returned_to_the_leader_for_admission() -> None:
+    rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS)), CHUNK)
     assert entries(rebuilt, "job-1")[2].state == RETURNED
 
 
-def test_an_end_that_only_a_worker_knows_counts() -> None:
+def test_a_task_that_only_a_heartbeat_shows_as_done_ends() -> None:
     seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
-    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
+    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS), heartbeats=[seen]), CHUNK)
     assert entries(rebuilt, "job-1")[0].state == ENDED
 
 
-def test_an_attempt_that_only_a_worker_knows_counts() -> None:
+def test_an_attempt_that_only_a_heartbeat_shows_is_assigned() -> None:
     seen = report("vm-7", ("job-1/2", 3, "running", None), session=4)
-    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[seen]), CHUNK)
+    rebuilt = merge(evidence(source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS), heartbeats=[seen]), CHUNK)
     assert entries(rebuilt, "job-1")[2] == TaskEntry(2, ASSIGNED, 3, "vm-7", 4)
 
 
-def test_a_service_does_not_end_by_itself() -> None:
+def test_a_service_task_that_exited_is_returned_to_the_leader() -> None:
     live = {job_key("job-1"): (5, JobRecord(spec("job-1", 1, wire.SERVICE), 1.0))}
     seen = report("vm-1", ("job-1/0", 1, wire.EXITED, wire.REASON_DONE))
     rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live), heartbeats=[seen]), CHUNK)
     assert entries(rebuilt, "job-1")[0].state == RETURNED
 
 
-def test_the_newest_copy_decides_and_proves_what_is_gone() -> None:
-    older = source(SourceKind.ARCHIVE, "archive", 6, {job_key("job-1"): LIVE[job_key("job-1")]})
+def test_the_newest_copy_overrides_an_older_one_and_proves_deletions() -> None:
+    older = source(SourceKind.ARCHIVE, "archive", 6, {job_key("job-1"): LIVE_RECORDS[job_key("job-1")]})
     newer = source(SourceKind.REPLICA, "n0", 20, {"final/job-1": (0, FinalRecord(wire.DONE, 3))}, since=4)
     rebuilt = merge(evidence(older, newer), CHUNK)
     assert rebuilt.finals == {"job-1": FinalRecord(wire.DONE, 3)}
@@ -132,8 +133,8 @@
     assert not rebuilt.uncertain
 
 
-def test_a_job_that_is_over_nobody_knows_how_is_in_doubt() -> None:
-    older = source(SourceKind.ARCHIVE, "archive", 6, LIVE)
+def test_a_job_deleted_without_a_final_record_has_an_unresolved_outcome() -> None:
+    older = source(SourceKind.ARCHIVE, "archive", 6, LIVE_RECORDS)
     newer = source(SourceKind.REPLICA, "n0", 20, {}, since=15)
     rebuilt = merge(evidence(older, newer), CHUNK)
     assert rebuilt.finals["job-1"].state == UNRESOLVED
@@ -141,7 +142,7 @@
     assert rebuilt.uncertain
 
 
-def test_a_cancelled_job_can_only_have_ended_as_cancelled() -> None:
+def test_a_deleted_job_that_was_cancelled_has_no_unresolved_outcome() -> None:
     live = {job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0, True, 2.0))}
     rebuilt = merge(
         evidence(source(SourceKind.ARCHIVE, "archive", 6, live), source(SourceKind.REPLICA, "n0", 20, {}, since=15)),
@@ -151,14 +152,14 @@
     assert rebuilt.unresolved == []
 
 
-def test_a_cancellation_in_any_copy_counts() -> None:
+def test_a_cancellation_in_any_copy_applies() -> None:
     cancelled = {job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0, True, 2.0))}
-    lost = source(SourceKind.REPLICA, "n0", 9, LIVE)
+    replica = source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS)
     remains = source(SourceKind.REMAINS, "state service", 12, cancelled)
-    assert merge(evidence(lost, remains), CHUNK).jobs["job-1"].cancelled
+    assert merge(evidence(replica, remains), CHUNK).jobs["job-1"].cancelled
 
 
-def test_two_final_standings_are_in_doubt() -> None:
+def test_conflicting_final_states_leave_the_outcome_unresolved() -> None:
     one = source(SourceKind.REPLICA, "n0", 9, {"final/job-1": (0, FinalRecord(wire.DONE, 1))})
     other = source(SourceKind.REMAINS, "state service", 9, {"final/job-1": (0, FinalRecord(wire.CANCELLED, 1))})
     rebuilt = merge(evidence(one, other), CHUNK)
@@ -166,10 +167,11 @@
     assert rebuilt.unresolved[0].kind == UnresolvedKind.CONFLICT.value
 
 
-def test_a_task_of_a_job_that_nobody_knows_is_told() -> None:
+def test_a_running_task_of_an_unknown_job_is_listed_as_unresolved() -> None:
     rebuilt = merge(
         evidence(
-            source(SourceKind.ARCHIVE, "archive", 9, LIVE), heartbeats=[report("vm-2", ("job-9/0", 1, "running", None))]
+            source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS),
+            heartbeats=[report("vm-2", ("job-9/0", 1, "running", None))],
         ),
         CHUNK,
     )
@@ -177,7 +179,7 @@
     assert "job-9" not in rebuilt.jobs
 
 
-def test_members_of_a_gang_have_one_attempt_number() -> None:
+def test_all_members_of_a_gang_get_the_same_attempt() -> None:
     live = {
         job_key("job-1"): (5, JobRecord(spec("job-1", 2, wire.GANG), 1.0)),
         "live/allot/a/job-1/0": (8, AllocationRecord([TaskEntry(0, FREE, 2), TaskEntry(1, FREE, 4)])),
@@ -186,16 +188,16 @@
     assert len({e.attempt for e in entries(rebuilt, "job-1").values()}) == 1
 
 
-def test_attempts_rise_above_those_without_a_trace() -> None:
-    copies = source(SourceKind.REPLICA, "n0", 9, LIVE), source(SourceKind.ARCHIVE, "archive", 9, LIVE)
+def test_attempts_rise_above_unrecorded_ones_if_a_copy_is_missing() -> None:
+    copies = source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS), source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS)
     certain, uncertain = merge(evidence(*copies), CHUNK), merge(evidence(*copies, complete=False), CHUNK)
     assert (certain.uncertain, uncertain.uncertain) == (False, True)
     assert entries(certain, "job-1")[2].attempt == 2
     assert entries(uncertain, "job-1")[2].attempt > 100
 
 
-def test_nonsense_is_set_aside_and_counted() -> None:
-    copy = source(SourceKind.ARCHIVE, "archive", 9, LIVE)
+def test_invalid_evidence_is_counted_and_ignored() -> None:
+    copy = source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS)
     copy.add(StoredRecord("live/job/job-2", 3, b'{"no":"job"}'))
     copy.add(StoredRecord("live/allot/a/job-2/0", 3, b"\xff"))
     copy.add(StoredRecord("something/else", 3, b"1"))
@@ -207,7 +209,7 @@
     assert set(rebuilt.jobs) == {"job-1"}
 
 
-def test_the_highest_epoch_is_found_in_any_copy() -> None:
+def test_the_highest_epoch_of_all_copies_is_returned() -> None:
     copies = [
         source(SourceKind.REPLICA, f"n{e}", 9, {"live/part/a": (3, records.PartitionRecord("n0", e))})
         for e in (4, 9, 2)
@@ -215,14 +217,14 @@
     assert highest_epoch(copies) == 9
 
 
-# A history as it may have gone, seen by copies at different moments, in any order.
+# Random histories, with copies taken at different revisions and merged in any order
 
 JOBS = ["job-1", "job-2"]
 MACHINES = ["vm-1", "vm-2"]
 
 
 class Timeline:
-    """A small history that obeys the rules of records: the copies are its states at some revisions."""
+    """A random history of valid record changes; a copy is its state at a revision."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -240,7 +242,7 @@
         self.states.append(dict(self.keys))
 
     def step(self) -> None:
-        """One more change."""
+        """Makes one random change."""
         job = self.random.choice(JOBS)
         key, where = job_key(job), f"live/allot/a/{job}/0"
         if records.FINAL + job in self.keys:
@@ -269,11 +271,11 @@
             self._commit(**{where: AllocationRecord(tasks)})
 
     def copy(self, kind: SourceKind, name: str, revision: int) -> Source:
-        """The records as they were at a revision."""
+        """Returns a copy of the records at a revision."""
         return source(kind, name, revision, self.states[revision])
 
     def worker_reports(self) -> list[wire.Heartbeat]:
-        """Workers show exactly what the newest records put on them."""
+        """Returns a heartbeat of each worker that lists exactly the tasks assigned to it by the newest records."""
         shown: dict[str, list[tuple[str, int, str, str | None]]] = {name: [] for name in MACHINES}
         for key, (_, record) in self.keys.items():
             if isinstance(record, AllocationRecord):
@@ -285,7 +287,7 @@
 
 
 def plain(rebuilt: RebuiltRecords) -> bytes:
-    """A picture in a form that can be compared."""
+    """Encodes rebuilt records independently of their order, for comparison."""
     allocations = {str(allocation): record for allocation, record in sorted(rebuilt.allocations.items())}
     jobs, finals = dict(sorted(rebuilt.jobs.items())), dict(sorted(rebuilt.finals.items()))
     return msgspec.json.encode([jobs, allocations, finals, rebuilt.unresolved, rebuilt.uncertain, rebuilt.set_aside])
@@ -335,7 +337,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(seed=st.integers(0, 10_000), steps=st.integers(5, 80), archived=st.floats(0, 1))
 def test_an_old_archive_alone_loses_no_end_and_frees_nothing_that_runs(seed: int, steps: int, archived: float) -> None:
-    """The snapshot is older than jobs that finished after it: what workers know decides, nothing is guessed."""
+    """Jobs may have ended after the snapshot, so tasks in heartbeats stay assigned and the result is uncertain."""
     timeline = Timeline(seed)
     for _ in range(steps):
         timeline.step()
@@ -352,8 +354,8 @@
 
 
 @pytest.mark.parametrize("state", [FREE, RETURNED])
-def test_a_picture_is_evidence_for_the_next_loss(state: int) -> None:
-    """A rebuilt history may be lost as well: merging its own records changes nothing that matters."""
+def test_merging_rebuilt_records_again_keeps_all_task_states(state: int) -> None:
+    """A rebuilt history may be lost too: merging its own records must give the same task states."""
     live = {
         job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0)),
         "live/allot/a/job-1/0": (
@@ -373,7 +375,7 @@
 
 
 class Rebuilding(RuleBasedStateMachine):
-    """Changes, copies, reports and merges in any order: a picture never takes back what an earlier one was sure of."""
+    """Changes, copies, heartbeats and merges in any order: a certain final state never changes in a later merge."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -384,30 +386,30 @@
 
     @rule(steps=st.integers(1, 12))
     def change(self, steps: int) -> None:
-        """The history goes on."""
+        """Makes changes to the history."""
         for _ in range(steps):
             self.timeline.step()
 
     @rule(seed=st.integers(0, 1000))
     def shuffle(self, seed: int) -> None:
-        """Other random choices from here on."""
+        """Reseeds the random choices of later changes."""
         self.timeline.random.seed(seed)
 
     @rule(kind=st.sampled_from([SourceKind.REPLICA, SourceKind.ARCHIVE]), back=st.integers(0, 20))
     def copy(self, kind: SourceKind, back: int) -> None:
-        """A copy comes to hand, perhaps an old one."""
+        """Adds a copy, up to 20 revisions old, to the evidence."""
         revision = max(0, self.timeline.revision - back)
         self.evidence.sources.append(self.timeline.copy(kind, f"{kind.value}{len(self.evidence.sources)}", revision))
 
     @rule()
     def hear(self) -> None:
-        """Workers report, and then nothing changes any more: reports count only in a sealed history."""
+        """Adds a heartbeat of each worker to the evidence, as collected after the history was sealed."""
         for one in self.timeline.worker_reports():
             self.evidence.add_heartbeat(one)
 
     @rule()
     def merge(self) -> None:
-        """The picture of the moment."""
+        """Merges the evidence collected so far."""
         rebuilt = merge(self.evidence, CHUNK)
         assert plain(merge(self.evidence, CHUNK)) == plain(rebuilt)
         for job, final in rebuilt.finals.items():
@@ -423,7 +425,7 @@
 
     @invariant()
     def true_finals_only(self) -> None:
-        """No final standing is made up."""
+        """Every certain final state is the one in the history."""
         for job, final in self.finals.items():
             assert self.timeline.keys[records.FINAL + job][1] == final
 
--- a/tests/test_recovery_combinations.py
+++ b/tests/test_recovery_combinations.py
@@ -1,7 +1,7 @@
-"""Random days on which the state service loses data among other troubles.
+"""Random scenarios: the state service loses data during other faults; responses to users stay true after every loss.
 
-Users are told only what is archived, so whatever any of them was told has to hold, however little lives on.
-`SPURARCH_LOSSES=500 python -m pytest tests/test_recovery_combinations.py` plays as many new ones.
+Responses wait for the archive, so they must hold whatever copies survive.
+`SPURARCH_LOSSES=500 python -m pytest tests/test_recovery_combinations.py` runs that many new scenarios.
 """
 
 from __future__ import annotations
@@ -44,12 +44,12 @@
 
 
 def play(text: str) -> list[str]:
-    """What broke on a day."""
+    """Runs a scenario and returns its problems."""
     whole = f"answers archived\n{BASE}at 8 save early\nat 16 save later\n{text}"
     scenario = Scenario.parse(whole, {})
     scenario.end = (
         last_trouble(scenario) + QUIET_S + 40.0
-    )  # a rebuilding may have to wait for workers that are not heard
+    )  # a rebuild may have to wait for workers that send no heartbeat
     revoking = {words[1] for _, words in scenario.actions if words[0] == "cancel"}
     may_be = {"done", "aborted"} if "cancel-at-end" in text else {"done"}
     played = RecoveryPlay(scenario)
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -1,4 +1,7 @@
-"""Operators' commands, and what happens with recovery off."""
+"""Recovery commands must not override or delete valid records; without recovery, no recovery key may be used.
+
+Also: installations are kept apart by name, and worker exits wait for the archive.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 from tests.sim.scenario_text import Scenario
 from tests.sim.store import FakeStore
 
-DAY = """
+SCENARIO = """
 team t max=60
 type small cpus=4 boot=5
 machines small a 2
@@ -42,7 +45,7 @@
 """
 
 
-def with_store(story: Any) -> FakeStore:
+def with_state_service(check: Any) -> FakeStore:
     clock = Clock()
     network = Wire(clock, Random(1))
     service = FakeStore(clock, Random(2), 500.0, 500.0, 8.0, 24)
@@ -50,7 +53,7 @@
     client = Store(SimNetwork(network, "operator").client(STATE, 2), StateLimits(500.0, 500.0, 8.0, 24), 1)
 
     async def run() -> None:
-        await story(client, service)
+        await check(client, service)
 
     clock.run(run)
     return service
@@ -61,8 +64,8 @@
     service.keys[key] = value, service.revision, None
 
 
-def test_a_history_is_declared_once() -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_a_first_history_can_be_declared_only_once() -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         history = await declare_first_history(client, False, True, "here")
         status = await operators.read_status(client)
         assert status.history == history
@@ -70,21 +73,21 @@
         with pytest.raises(OperatorError, match="already"):
             await declare_first_history(client, False)
 
-    with_store(story)
+    with_state_service(check)
 
 
-def test_records_that_are_there_have_to_be_adopted() -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_existing_records_require_adopt() -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         put(service, "live/job/job-1", {})
         with pytest.raises(OperatorError, match="--adopt"):
             await declare_first_history(client, False)
         await declare_first_history(client, True)
 
-    with_store(story)
+    with_state_service(check)
 
 
-def test_a_job_in_doubt_is_settled_once_and_for_good() -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_an_unresolved_outcome_can_be_resolved_only_once() -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         await declare_first_history(client, False)
         put(service, "final/job-1", {"state": "in doubt", "tasks": 3})
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
@@ -94,38 +97,45 @@
         with pytest.raises(OperatorError, match="not in doubt"):
             await operators.resolve_job(client, "job-1", wire.CANCELLED)
 
-    with_store(story)
+    with_state_service(check)
 
 
-def test_nothing_is_settled_while_the_records_are_rebuilt() -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_no_outcome_can_be_resolved_during_a_rebuild() -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         history = await declare_first_history(client, False)
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
         del service.keys[f"history/open/{history.name}"]
         with pytest.raises(OperatorError, match="being rebuilt"):
             await operators.resolve_job(client, "job-1", wire.DONE)
 
-    with_store(story)
+    with_state_service(check)
 
 
-def test_what_earlier_histories_left_is_deleted_and_nothing_else() -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_purge_deletes_only_keys_of_earlier_histories() -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         await declare_first_history(client, False)
         put(service, CURRENT, {"name": "bb", "number": 3})
         put(service, "history/open/bb", {"number": 3})
-        kept = {"somebody/else", "h3.bb/live/job/job-1", "h3.bb/final/job-2", "live/leader", CURRENT, "history/open/bb"}
-        left = ["h2.aa/final/job-1", "final/job-5", "history/rebuild/cc"]
-        for key in [*kept, *(f"live/job/job-{n}" for n in range(9)), *left]:
+        kept_keys = {
+            "somebody/else",
+            "h3.bb/live/job/job-1",
+            "h3.bb/final/job-2",
+            "live/leader",
+            CURRENT,
+            "history/open/bb",
+        }
+        obsolete_keys = ["h2.aa/final/job-1", "final/job-5", "history/rebuild/cc"]
+        for key in [*kept_keys, *(f"live/job/job-{n}" for n in range(9)), *obsolete_keys]:
             if key not in service.keys:
                 put(service, key, {})
         assert await operators.purge(client) == 12
-        assert kept <= set(service.keys)
+        assert kept_keys <= set(service.keys)
         assert not [k for k in service.keys if k.startswith(("live/job", "h2.", "final/", "history/rebuild"))]
 
-    with_store(story)
+    with_state_service(check)
 
 
-def test_commands_refuse_in_one_line(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
+def test_commands_refuse_bad_input_with_exit_code_2(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
     assert main(["recovery", "status", "--config", str(tmp_path / "none.toml")]) == 2
     assert capsys.readouterr().err.count("\n") == 1
     for words in (
@@ -138,7 +148,7 @@
         assert ended.value.code == 2
 
 
-def test_settings_of_recovery_are_read(tmp_path: Path) -> None:
+def test_recovery_settings_are_read(tmp_path: Path) -> None:
     path = tmp_path / "features.sexp"
     path.write_text(Path("deploy/features.sexp").read_text())
     tuning = load_tuning(str(path))
@@ -146,30 +156,30 @@
     assert not load_tuning(None).recovery
 
 
-def test_an_unknown_job_is_denied_once_an_operator_has_settled() -> None:
-    """After a rebuilding with a controller missing, unknown jobs get 503, and 404 from the settling on."""
-    text = "archive off\n" + DAY.replace("end 30", "at 20 wipe\nat 50 raw GET /submissions/job-9 503\nend 60")
+def test_an_unknown_job_gets_404_after_an_operator_resolved_unknown_jobs() -> None:
+    """After a rebuild without an archive, requests for unknown jobs get 503; once an operator resolves them, 404."""
+    text = "archive off\n" + SCENARIO.replace("end 30", "at 20 wipe\nat 50 raw GET /submissions/job-9 503\nend 60")
     play = RecoveryPlay(Scenario.parse(text, {}))
-    settled: list[int] = []
-    act = play._act
+    statuses: list[int] = []
+    original_act = play._act
 
-    async def after(words: list[str]) -> None:
-        await act(words)
+    async def act_and_resolve(words: list[str]) -> None:
+        await original_act(words)
         if words[0] == "raw":
             await curio.sleep(1.0)
             client = Store(SimNetwork(play.wire, "operator").client(STATE, 2), play.platform(0).deployment.state, 1)
             await operators.resolve_unknown_jobs(client)
             await curio.sleep(2.0)
-            settled.append((await play._ask("GET", "/submissions/job-9", b""))[0])
+            statuses.append((await play._ask("GET", "/submissions/job-9", b""))[0])
 
-    play._act = after  # type: ignore[method-assign]
+    play._act = act_and_resolve  # type: ignore[method-assign]
     play.run()
     assert play.problems == []
-    assert settled == [404]
+    assert statuses == [404]
 
 
-def test_an_archive_of_another_installation_is_not_written_to(tmp_path: Path) -> None:
-    async def story(client: Store, service: FakeStore) -> None:
+def test_an_archiver_refuses_records_of_another_installation(tmp_path: Path) -> None:
+    async def check(client: Store, service: FakeStore) -> None:
         await declare_first_history(client, False, False, "here")
         with pytest.raises(OtherInstallationError, match="'here'"):
             await Follower(client, tmp_path, None, "elsewhere").run()
@@ -177,54 +187,56 @@
         await curio.sleep(3)
         await task.cancel()
 
-    with_store(story)
+    with_state_service(check)
     assert history_record(read_state(histories(tmp_path)[0])).installation == "here"
 
 
 def test_controllers_do_not_serve_records_of_another_installation() -> None:
-    play = RecoveryPlay(Scenario.parse(DAY, {}))
+    play = RecoveryPlay(Scenario.parse(SCENARIO, {}))
     play.tuning.installation = "elsewhere"
     play.run()
     assert set(play.answers) == {503}
     assert play.world.rules.started == 0
 
 
-def test_off_no_key_or_condition_of_recovery_is_ever_used() -> None:
-    play = Play(Scenario.parse(DAY, {}))
+def test_without_recovery_no_recovery_key_is_written_or_compared() -> None:
+    play = Play(Scenario.parse(SCENARIO, {}))
     play.run()
     assert play.problems == []
-    used = [key for _, event in play.store.events for key in (event.get("write"), event.get("drop")) if key]
-    used += [guard["key"] for body in play.store._carried for guard in body["guards"]]
-    assert len(used) > 20
-    assert not [key for key in used if key.startswith(("history/", "packed/", "doubt/", "h1", "h2"))]
+    used_keys = [key for _, event in play.store.events for key in (event.get("write"), event.get("drop")) if key]
+    used_keys += [guard["key"] for body in play.store._carried for guard in body["guards"]]
+    assert len(used_keys) > 20
+    assert not [key for key in used_keys if key.startswith(("history/", "packed/", "doubt/", "h1", "h2"))]
 
 
-def test_on_the_marker_is_a_condition_of_every_transaction() -> None:
-    play = RecoveryPlay(Scenario.parse(DAY, {}))
+def test_with_recovery_every_transaction_compares_the_open_marker() -> None:
+    play = RecoveryPlay(Scenario.parse(SCENARIO, {}))
     play.run()
     assert play.problems == []
-    own = [body for body in play.store._carried if not any(c.get("write") in (CURRENT, ARCHIVED) for c in body["then"])]
-    assert len(own) > 10
-    assert all(any(guard["key"].startswith("history/open/") for guard in body["guards"]) for body in own)
+    transactions = [
+        body for body in play.store._carried if not any(c.get("write") in (CURRENT, ARCHIVED) for c in body["then"])
+    ]
+    assert len(transactions) > 10
+    assert all(any(guard["key"].startswith("history/open/") for guard in body["guards"]) for body in transactions)
 
 
-def test_ends_wait_for_the_archive_and_not_longer_than_the_patience() -> None:
+def test_archive_progress_covers_changes_after_the_timeout_unless_it_holds() -> None:
     clock = Clock()
     guard = HistoryGuard()
     guard.open(HistoryRecord("aa", 1), 3, 50, 10.0)
     guard.record_change(["live/job/job-1"], 60)
 
-    async def story() -> None:
-        patient, holding = ArchiveProgress(guard, 5.0, False), ArchiveProgress(guard, 5.0, True)
-        revision = patient.recorded()
+    async def check() -> None:
+        timing_out, holding = ArchiveProgress(guard, 5.0, False), ArchiveProgress(guard, 5.0, True)
+        revision = timing_out.recorded()
         assert revision == 60
-        assert not patient.covers(revision)
+        assert not timing_out.covers(revision)
         await curio.sleep(6.0)
-        assert patient.covers(revision)
+        assert timing_out.covers(revision)
         assert not holding.covers(revision)
         guard.archived = 60
         assert holding.covers(revision)
-        guard.record_change(["live/member/n0"], 70)  # which is not archived
-        assert patient.recorded() == 60
+        guard.record_change(["live/member/n0"], 70)  # a member record, which is not archived
+        assert timing_out.recorded() == 60
 
-    clock.run(story)
+    clock.run(check)
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario in which the state service loses data, in every variant that it asks for."""
+"""Runs every scenario in which the state service loses data, in all its variants."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.sim.recovery import RecoveryPlay
 from tests.sim.scenario_text import Scenario
 
-# Those in which a rebuilt history goes on working, is lost again or taken over.
-SEEDED = {
+# scenarios in which a rebuilt history stays in use, is lost again or is taken over
+MULTI_RECORD_SCENARIOS = {
     "gang",
     "late-transactions",
     "lost-again-meanwhile",
@@ -27,11 +27,11 @@
     "worker-heartbeats-late",
 }
 FILES = sorted((Path(__file__).parent / "scenarios" / "recovery").glob("*.txt"))
-PLAYS = [(path, values) for path in FILES for values in Scenario.variants(path)]
+VARIANTS = [(path, values) for path in FILES for values in Scenario.variants(path)]
 
 
 @pytest.mark.parametrize(
-    ("path", "values"), PLAYS, ids=["-".join([path.stem, *values.values()]) for path, values in PLAYS]
+    ("path", "values"), VARIANTS, ids=["-".join([path.stem, *values.values()]) for path, values in VARIANTS]
 )
 def test_recovery_scenario(path: Path, values: dict[str, str]) -> None:
     play = RecoveryPlay(Scenario.read(path, values))
@@ -42,23 +42,23 @@
 
 @pytest.mark.parametrize(
     ("path", "values"),
-    [(path, values) for path, values in PLAYS if path.stem in SEEDED],
-    ids=["-".join([path.stem, *values.values()]) for path, values in PLAYS if path.stem in SEEDED],
+    [(path, values) for path, values in VARIANTS if path.stem in MULTI_RECORD_SCENARIOS],
+    ids=["-".join([path.stem, *values.values()]) for path, values in VARIANTS if path.stem in MULTI_RECORD_SCENARIOS],
 )
-def test_recovery_scenario_with_records_that_share_values(
+def test_recovery_scenario_with_many_records_per_value(
     path: Path, values: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As a history of many records begins, whatever its size."""
+    """Rebuilds with many records per stored value, as for large histories, whatever the size of the history."""
     monkeypatch.setattr(history_writer, "SEEDED_ABOVE_S", 0.0)
-    unpacked: list[str] = []
-    unpack = Committer._unpack
+    unpacked_keys: list[str] = []
+    original_unpack = Committer._unpack
 
-    async def counted(self: Committer, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
-        unpacked.append(packed.key)
-        return await unpack(self, packed, urgency)
+    async def record_unpack(self: Committer, packed: PackedSeed, urgency: Urgency) -> TransactionResult:
+        unpacked_keys.append(packed.key)
+        return await original_unpack(self, packed, urgency)
 
-    monkeypatch.setattr(Committer, "_unpack", counted)
+    monkeypatch.setattr(Committer, "_unpack", record_unpack)
     play = RecoveryPlay(Scenario.read(path, values))
     play.run()
     assert play.problems == []
-    assert unpacked
+    assert unpacked_keys
