--- a/spurarch/archive/changes.py
+++ b/spurarch/archive/changes.py
@@ -22,7 +22,7 @@
 
 
 class HistoryEndedError(SpurarchError):
-    """The followed history has ended; the message is the reason.
+    """The history that is being archived has ended; the message is the reason.
 
     Attributes:
         data_rolled_back: The state service returned data older than what was read from it before.
--- a/spurarch/archive/format.py
+++ b/spurarch/archive/format.py
@@ -44,7 +44,7 @@
 
 
 class FileKind(enum.Enum):
-    """Kind of a file; the value is in its name and header."""
+    """Kind of a file; the value is part of the file name and the header."""
 
     SNAPSHOT = "snapshot"
     LOG = "log"
--- a/tests/test_external_contract_archive.py
+++ b/tests/test_external_contract_archive.py
@@ -1,6 +1,6 @@
-"""The archive's directory and files: what is on an operators' disk is read, and written again byte for byte.
+"""The archive's directory and files are read and written byte for byte as they are on operators' disks.
 
-The files below are literal. Only Avro's sync marker, which is random in every file, is put in place before comparing.
+The expected files are literal. Avro's sync marker, which is random in each file, is replaced before comparing.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def archive(tmp_path: Path) -> Path:
-    """A directory as an archiver of the version in production left it."""
+    """Returns the root of an archive with the files of an archiver of the version in production."""
     directory = tmp_path / "000002-9f2c"
     directory.mkdir()
     (directory / SNAPSHOT_NAME).write_bytes(SNAPSHOT)
@@ -63,13 +63,13 @@
 
 
 def with_marker(path: Path) -> bytes:
-    """A file's bytes with the known sync marker in the place of its own."""
+    """Returns a file's bytes, with its sync marker replaced by `MARKER`."""
     whole = path.read_bytes()
     return whole.replace(whole[-16:], MARKER)
 
 
 def start_point() -> ArchivedState:
-    """What the snapshot holds."""
+    """Returns the state that `SNAPSHOT` holds."""
     return ArchivedState("9f2c", 2, 10, {entry.key: entry for entry in SNAPSHOT_ENTRIES})
 
 
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -1,6 +1,6 @@
-"""Requests to the state service, the cloud and the archive, as they leave, and what each answer means.
+"""Requests to the state service, the cloud and the archive, byte for byte, and the result of each response.
 
-Method, target and body are literal, and so are the answers; the clients that controllers use lie in between.
+Requests and responses are literal; the tests call the clients that controllers use.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 
 
 class RecordingClient:
-    """Stands in for a connection: keeps what is sent, and gives the answers in turn."""
+    """Simulated client of one address: records requests and returns the given responses in order."""
 
     def __init__(self, answers: list[Answer | NoAnswerError]) -> None:
         self.sent: list[Sent] = []
         self._answers = answers
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> Answer:
-        """Keeps the request and gives the next answer."""
+        """Records the request and returns the next response; raises it if it is a `NoAnswerError`."""
         self.sent.append((method, target, body))
         answer = self._answers.pop(0)
         if isinstance(answer, NoAnswerError):
@@ -51,7 +51,7 @@
 def with_store(
     story: Callable[[Store], Awaitable[T]], *answers: Answer | NoAnswerError, history: HistoryGuard | None = None
 ) -> tuple[T, list[Sent]]:
-    """What came of calls of the state service, and the requests that were made for them."""
+    """Calls the client of the state service; returns the result and the requests that were sent."""
     client = RecordingClient(list(answers))
     store = Store(client, StateLimits(1000.0, 1000.0, 8.0, 24), 1, history)
     result: T = curio.run(story, store)
@@ -59,7 +59,7 @@
 
 
 def with_cloud(story: Callable[[Cloud], Awaitable[T]], *answers: Answer | NoAnswerError) -> tuple[T, list[Sent]]:
-    """What came of calls of the cloud, and the requests that were made for them."""
+    """Calls the client of the cloud; returns the result and the requests that were sent."""
     client = RecordingClient(list(answers))
     cloud = Cloud(client, 1000.0, 1)
     result: T = curio.run(story, cloud)
--- a/tests/test_external_contract_commands.py
+++ b/tests/test_external_contract_commands.py
@@ -21,7 +21,7 @@
 
 
 class CannedServer(HTTPServer):
-    """Stands in for a controller or the state service: literal answers by method and target, and what was asked."""
+    """Simulated controller or state service: returns literal responses by method and target, and records requests."""
 
     def __init__(self, answers: dict[str, tuple[int, bytes]]) -> None:
         super().__init__(("127.0.0.1", 0), CannedHandler)
@@ -30,15 +30,15 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Listen address, as host:port."""
         return f"127.0.0.1:{self.server_address[1]}"
 
 
 class CannedHandler(BaseHTTPRequestHandler):
-    """One connection of the stand-in."""
+    """Handles the requests of one connection to a `CannedServer`."""
 
     def handle_any(self) -> None:
-        """Keeps the request and gives the answer for it."""
+        """Records the request and sends the response for it."""
         server = self.server
         assert isinstance(server, CannedServer)
         body = self.rfile.read(int(self.headers.get("Content-Length", "0")))
@@ -50,15 +50,15 @@
         self.end_headers()
         self.wfile.write(answer)
 
-    do_GET = do_POST = handle_any  # noqa: N815 (the names that the standard library calls)
+    do_GET = do_POST = handle_any  # noqa: N815 (http.server calls these names)
 
     def log_message(self, format: str, *args: object) -> None:
-        """Nothing is printed."""
+        """Suppresses the request log."""
 
 
 @contextmanager
 def serving(answers: dict[str, tuple[int, bytes]]) -> Iterator[CannedServer]:
-    """A stand-in that serves for a while."""
+    """Runs a `CannedServer` within the context."""
     with CannedServer(answers) as server:
         thread = threading.Thread(target=server.serve_forever, args=(0.01,))
         thread.start()
@@ -70,7 +70,7 @@
 
 
 def usage_of(words: list[str], capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> str:
-    """The first line of a command's help: its name, options and arguments."""
+    """Returns the first line of a command's help: its name, options and arguments."""
     monkeypatch.setenv("COLUMNS", "400")
     with pytest.raises(SystemExit) as ended:
         cli.main([*words, "--help"])
@@ -330,7 +330,7 @@
 
 
 def operate(words: str, answers: dict[str, tuple[int, bytes]], directory: Path) -> tuple[int, list[bytes]]:
-    """Runs an operators' command beside a stand-in state service: its exit code, and the transactions that it made."""
+    """Runs a recovery command on a simulated state service; returns its exit code and the bodies of transactions."""
     with serving(answers) as state_service:
         file = directory / "p.toml"
         file.write_text(SHORT_PLATFORM.replace("127.0.0.1:4", state_service.address))
--- a/tests/test_external_contract_day.py
+++ b/tests/test_external_contract_day.py
@@ -1,8 +1,7 @@
-"""A small day of one controller: every record that it writes and every request that it makes, byte for byte.
+"""A short run of one controller: every record that it writes and every request that it makes, byte for byte.
 
-The other tests of the contract freeze each message by itself. This one shows that a running controller composes
-them as it did: keys, values, leases, names of rentals, tokens and commands. Jobs come far apart, so that what is
-written does not depend on what happens to fall into one transaction.
+The other contract tests freeze single messages; this one freezes their composition: keys, values, leases, rental
+names, tokens and commands. Jobs are submitted far apart, so writes don't depend on what shares a transaction.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
 end 70
 """
 
-# What the day writes, asks, commands and answers; BOOT names a process, MOMENT a time of day.
+# Expected records, requests, commands and responses; BOOT replaces a process name, MOMENT a timestamp.
 
 WRITTEN: set[bytes] = {
     b'{"drop":"live/allot/a/job-1/0"}',
@@ -175,20 +174,20 @@
 
 
 class Transaction(msgspec.Struct):
-    """As much of a transaction as is looked at: its changes, undecoded."""
+    """The part of a transaction that is compared: its changes, undecoded."""
 
     then: list[msgspec.Raw]
 
 
 class Orders(msgspec.Struct):
-    """As much of an answer to a report as is looked at: its commands, undecoded."""
+    """The part of a heartbeat response that is compared: its commands, undecoded."""
 
     orders: list[msgspec.Raw] = []
 
 
 @pytest.fixture(scope="module")
 def exchanges() -> list[Exchange]:
-    """All that was asked on the day."""
+    """Returns all requests of the run, with their responses."""
     day = Play(Scenario.parse(DAY, {}))
     out = record_exchanges(day)
     day.run()
--- a/tests/test_external_contract_peers.py
+++ b/tests/test_external_contract_peers.py
@@ -1,4 +1,4 @@
-"""What controllers send one another: every message, its bytes, and the framing of the back channel.
+"""Messages between controllers: the bytes of every message, and the framing of the connections between peers.
 
 The bytes are literal: controllers of the version in production send and expect exactly these.
 """
@@ -53,7 +53,7 @@
     ),
 ]
 
-# As earlier versions send them: fields at the end are missing.
+# Messages of earlier versions, which lack the last fields
 SHORT_PEER_MESSAGES: list[tuple[str, bytes, PeerMessage]] = [
     ("pong-without-ages", b"\x96\xa4pong\xa2n0\xa400ff\xc3\x90\x90", Pong("n0", "00ff", True, [], [], -1.0, 0.0)),
     ("load-without-lists", b"\x94\xa4load\xa2n0\x03\xc3", Load("n0", 3.0, True, [], [], 0)),
@@ -152,7 +152,7 @@
     assert recovery_messages.decode(frame) is None
 
 
-# Framing of the back channel
+# Framing of the connections between peers
 
 
 async def _written(data: bytes) -> bytes:
--- a/tests/test_external_contract_rebuilding.py
+++ b/tests/test_external_contract_rebuilding.py
@@ -1,7 +1,7 @@
-"""A small rebuilding: every transaction of the controller that makes it, byte for byte.
+"""A small rebuild: every transaction of the controller that rebuilds the records, byte for byte.
 
-The state service loses its data while a service runs and after an array is done; no archive helps. BOOT names a
-process, FIRST and NEXT the two histories, MOMENT a time of day.
+The state service loses its data while a service runs and after an array is done; there is no archive. BOOT replaces a
+process name, FIRST and NEXT the names of the two histories, MOMENT a timestamp.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
 
 
 def _histories(last: bytes) -> tuple[str, str]:
-    """The names of the history before and of the new one, as the last transaction of a rebuilding has them."""
+    """Returns the names of the lost and the rebuilt history in the last transaction of a rebuild."""
     current = json.loads(last)["then"][1]["value"]
     return current["parent"], current["name"]
 
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -1,6 +1,6 @@
-"""Every record that controllers keep in the state service: its key and its bytes, as stored data has them.
+"""Key and bytes of every record that controllers store in the state service.
 
-The bytes are literal: a program that fails here can no longer read or write what the version in production keeps.
+The bytes are literal: a version that fails here can't read or write the records of the version in production.
 """
 
 from __future__ import annotations
@@ -271,7 +271,7 @@
 
 
 def test_the_key_of_packed_final_states_depends_on_the_job_in_the_same_way() -> None:
-    # The CRC-32 of "job-1" is 1279408703, whose rest by 7 is 6.
+    # The CRC-32 of "job-1" is 1279408703, and 1279408703 modulo 7 is 6.
     assert history.packed_key("job-1", 7) == "packed/6"
     assert history.packed_key("job-000412", 1) == "packed/0"
 
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -1,6 +1,6 @@
-"""Every answer to users and workers: status, body and headers, byte for byte.
+"""Every response to users and workers: status, body and headers, byte for byte.
 
-Controllers run over stand-ins in virtual time, and requests go through the same door as those of users and workers.
+Controllers run on simulated services in virtual time, and requests use the same handler as those of users and workers.
 """
 
 from __future__ import annotations
@@ -49,13 +49,13 @@
 
 
 def submission(**changed: str) -> bytes:
-    """A good submission with some fields changed; values are JSON."""
+    """Returns a valid submission with some fields changed; values are JSON."""
     fields = {**FIELDS, **changed}
     return ("{" + ",".join(f'"{name}":{value}' for name, value in fields.items()) + "}").encode()
 
 
 def report(zone: str = "a", token: int = 0, sequence: int = 1, tasks: str = "") -> bytes:
-    """A worker's report."""
+    """Returns a worker's heartbeat."""
     return (
         f'{{"croft":"vm-000001","addr":"10.1.0.1:9000","build":"small","district":"{zone}","lendable":false,'
         f'"tenure":1,"tally":{sequence},"baton":{token},"warning_s":null,"legs":[{tasks}]}}'
@@ -63,12 +63,12 @@
 
 
 def answer_of(response: Response) -> Answer:
-    """What a client sees of a response."""
+    """Returns status, body and headers of a response."""
     return response.status, response.body, response.headers
 
 
 class Site(Play):
-    """Controllers over stand-ins, and a story told to the first of them."""
+    """Controllers on simulated services, to which a test script sends requests."""
 
     def __init__(
         self, setup: str, story: Callable[[Site], Awaitable[None]], settle_s: float = 4.0, started: bool = True
@@ -86,18 +86,18 @@
         self.answered_story = True
 
     async def ask(self, method: str, target: str, body: bytes = b"", node: str = "n0") -> Answer:
-        """One request to a controller."""
+        """Sends a request to a controller and returns the response."""
         handler = self.wire.handlers[dict(self.nodes)[node]]
         return answer_of(await handler(Request(method, target, body)))
 
     def put(self, key: str, value: Any) -> None:
-        """Somebody else changes a key of the state service."""
+        """Writes a key in the state service, as another client of it."""
         self.store.revision += 1
         self.store.keys[key] = value, self.store.revision, None
         self.store.events.append((self.store.revision, {"write": key, "value": value, "stamp": self.store.revision}))
 
     def answer_transactions(self, status: int, body: bytes) -> None:
-        """From now on, the state service answers every transaction that writes a job in that way."""
+        """Makes the state service answer every further transaction that writes a job with this response."""
         usual = self.store.handler_for
 
         def door(host: str) -> Handler:
@@ -114,7 +114,7 @@
 
 
 def tell(story: Callable[[Site], Awaitable[None]], setup: str = "controllers 1", settle_s: float = 4.0) -> None:
-    """Tells a story to controllers that have started."""
+    """Runs a test script after the controllers have started."""
     site = Site(setup, story, settle_s)
     site.run()
     assert site.answered_story
@@ -123,7 +123,7 @@
 def ask_all(
     requests: list[tuple[str, str, bytes]], setup: str = "controllers 1", prepare: Callable[[Site], None] | None = None
 ) -> list[Answer]:
-    """The answers to some requests, one after the other."""
+    """Sends requests to a controller one after the other and returns the responses."""
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
@@ -289,7 +289,7 @@
     ]
 
 
-# What passes: 503 with Retry-After
+# Temporary errors: 503 with Retry-After
 
 UNREACHABLE = (503, b'{"error":"the state service can\'t be reached"}', RETRY)
 STARTING = (503, b'{"error":"starting"}', RETRY)
@@ -408,7 +408,7 @@
             async def answer(request: Request) -> Response:
                 response = await handle(request)
                 if request.target == "/txn" and b'"write":"live/job/' in request.body:
-                    site.clock.now += 5.5  # this process stands still
+                    site.clock.now += 5.5  # the process is suspended for 5.5 s
                 return response
 
             return answer
@@ -425,7 +425,7 @@
 
 
 def ask_with_recovery(history: dict[str, object], requests: list[tuple[str, str, bytes]]) -> list[Answer]:
-    """The answers of a controller with recovery that works in a history."""
+    """Sends requests to a controller with recovery whose history is open; returns the responses."""
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
@@ -461,7 +461,7 @@
     assert answers == [(503, b'{"error":"recorded, and not archived yet"}', RETRY)]
 
 
-# Workers' reports
+# Heartbeats of workers
 
 
 def test_a_heartbeat_to_the_owner_is_answered_with_its_fencing_token() -> None:
@@ -508,7 +508,7 @@
         other = next(node for node, _ in site.nodes if node != owner)
         member = site.store.keys[f"live/member/{owner}"][0]
         site.put(f"live/member/{owner}", {**member, "dark": ["b"]})
-        await curio.sleep(0.05)  # the owner writes its record again as soon as it sees this
+        await curio.sleep(0.05)  # the owner writes its own record again once it sees this change
         answers.append(await site.ask("POST", "/agent/beat", report(zone="b"), other))
 
     tell(story, "controllers 3")
@@ -563,7 +563,7 @@
     ]
 
 
-# The server of HTTP
+# HTTP server
 
 
 @pytest.mark.parametrize(
@@ -740,7 +740,7 @@
 
     async def story(site: Site) -> None:
         got = await site.controllers["n0"].on_frame(frame)
-        # The process's name is random, and the two ages at the end of a pong depend on the moment.
+        # The process name is random, and the two ages at the end of a pong depend on the time of the request.
         got = re.sub(rb"\xb0[0-9a-f]{16}", b"\xb0BOOTBOOTBOOTBOOT", got)
         answers.append(got[:-18] + answer[-18:] if frame.startswith(b"\x92\xa4ping") else got)
 
--- a/tests/test_external_contract_settings.py
+++ b/tests/test_external_contract_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every name in the platform's file and the operators' file, what `settings` prints, what `check` says."""
+"""Every name in the platform file and the operators' file, and the output of the commands `settings` and `check`."""
 
 from __future__ import annotations
 
@@ -254,7 +254,7 @@
 
 @pytest.fixture
 def platform_file(tmp_path: Path) -> Path:
-    """A platform's file that says only what it must."""
+    """Writes a platform file with only the required settings and returns its path."""
     path = tmp_path / "p.toml"
     path.write_text(SHORT_PLATFORM)
     return path
--- a/tests/test_external_contract_wire.py
+++ b/tests/test_external_contract_wire.py
@@ -1,4 +1,4 @@
-"""Every message to and from users, workers, the cloud and the state service, as docs of the protocols give them.
+"""Every message to and from users, workers, the cloud and the state service, as documented in the protocols.
 
 The bytes are literal. Messages that are sent are compared byte for byte; messages that are received are decoded.
 """
@@ -107,7 +107,7 @@
     assert wire.encode(message) == body
 
 
-# What users and workers send
+# Messages of users and workers
 
 
 @pytest.mark.parametrize(
@@ -226,7 +226,7 @@
     assert wire.heartbeat_decoder.decode(body) == heartbeat
 
 
-# What the cloud and the state service answer
+# Responses of the cloud and the state service
 
 RECEIVED_TYPES = (
     b'{"builds":[{"sku":"g8","vcpus":96,"gpus":8,"memory_gb":768,"local_gb":200,"fetch_gb_per_s":1.0,'
@@ -298,7 +298,7 @@
     assert wire.grant_decoder.decode(b'{"tether":7}') == Grant(7)
 
 
-# Words, paths and names
+# Protocol constants, paths and names
 
 
 def test_the_paths_are_those_of_the_protocols() -> None:
