--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -80,7 +80,7 @@
 
 
 class Follower:
-    """Archives the current history, and seals its archive at any sign that the history has ended.
+    """Archives the current history, and stops at any sign that the history has ended.
 
     `previous_state` is the newest state on disk from before this process, None if there is none. `installation` is the
     operators' name for the owner of the records.
@@ -193,10 +193,9 @@
     async def _read_prefix(
         self, record: HistoryRecord, prefix: str, state: ArchivedState, first_revision: int | None
     ) -> int:
-        """Reads the records under a prefix into `state`.
+        """Reads the records under a prefix into `state`; returns the revision of the snapshot's first page.
 
-        Returns the revision of the snapshot's first page; `first_revision` is None if no page has been read.
-        Raises `HistoryEndedError`.
+        `first_revision` is that revision, None before the first page has been read. Raises `HistoryEndedError`.
         """
         after: str | None = None
         while True:
@@ -235,9 +234,9 @@
         await curio.sleep(BATCH_INTERVAL_S)
 
     async def _verify_marker(self, history: _FollowedHistory) -> None:
-        """Checks the open marker every `VERIFY_AFTER_S` seconds; raises `HistoryEndedError` if it is not the same.
+        """Checks the open marker every `VERIFY_AFTER_S` seconds; raises `HistoryEndedError` if it is gone or replaced.
 
-        After a rollback of the state service to an earlier history, the revision may be higher than before.
+        Revisions don't show every rollback of the state service: after one to an earlier history, they may be higher.
         """
         now = time.monotonic()
         if now - self._verified_at < VERIFY_AFTER_S:
