--- a/spurarch/archive/reader.py
+++ b/spurarch/archive/reader.py
@@ -1,4 +1,7 @@
-"""Reads a history from the archive's files: a snapshot and the change logs that follow it."""
+"""Reads the records of a history from the archive's files: a snapshot and the change logs that follow it.
+
+A history is everything that was written since the state service was last empty or rebuilt (see `storage.history`).
+"""
 
 from __future__ import annotations
 
@@ -16,9 +19,9 @@
 
 
 def read_log_blocks(path: Path) -> Iterator[Block]:
-    """Yields the blocks of a change log, without a torn last block.
+    """Yields the blocks of a change log, except a last block that was only partly written.
 
-    Raises `DamagedFileError` if a block is damaged and others follow it.
+    Raises `DamagedFileError` if a completely written block is damaged, also if it is the last one.
     """
     blocks = read_blocks(path)
     while True:
@@ -34,7 +37,11 @@
 
 
 def _is_last_block_torn(path: Path) -> bool:
-    """Whether the file ends within its first unreadable block, so that no sync marker follows."""
+    """Whether the first unreadable block was only partly written.
+
+    That is so if no sync marker, which ends each block, follows the last readable block, or if even the header can't be
+    read.
+    """
     readable_end = 0
     try:
         for block in read_blocks(path):
@@ -47,7 +54,7 @@
 
 
 def _read_sync_marker(data: bytes) -> bytes | None:
-    """Returns the bytes that end the header and each block; None if the header can't be read."""
+    """Returns the sync marker, the bytes that end the header and each block; None if the header can't be read."""
     stream = io.BytesIO(data)
     try:
         reader = fastavro.block_reader(stream)
@@ -58,9 +65,12 @@
 
 
 def read_state(directory: Path, revision: int | None = None) -> ArchivedState:
-    """Reads the records of a history at its newest revision, or at the newest one up to `revision`.
+    """Reads the records of a history at its newest revision, or without the changes after `revision`.
+
+    The state's revision is that of the snapshot or of the last batch that is included completely.
 
-    Raises `EmptyArchiveError` if there is no snapshot, `DamagedFileError` if a file is damaged or missing.
+    Raises `EmptyArchiveError` if there is no snapshot, or none up to `revision`; `DamagedFileError` if a file is
+    damaged, or if a change log begins after the state that the files before it give, as if one were missing.
     """
     complete = files(directory)
     snapshots = [
@@ -105,9 +115,9 @@
 
 
 def verify(directory: Path) -> ArchivedState:
-    """Reads every file of a history and returns its newest state.
+    """Checks every file of a history, also those that the newest state does not need; returns that state.
 
-    Raises `EmptyArchiveError` or `DamagedFileError`.
+    Raises `EmptyArchiveError` or `DamagedFileError`, as `read_state` does.
     """
     for file in files(directory):
         for _ in read_log_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
--- a/spurarch/coordination/admission/job_admission.py
+++ b/spurarch/coordination/admission/job_admission.py
@@ -1,4 +1,7 @@
-"""Record changes that admit tasks of one job: admission record, new allocations, and those that tasks move out of."""
+"""Builds the record changes that admit tasks of one job.
+
+These are its admission record, its new allocations, and the allocations that returned tasks are moved out of.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
     @property
     def max_bytes(self) -> int:
-        """Upper bound of the bytes that the changes take in a request."""
+        """Upper bound of the encoded size of the changes in a request."""
         return sum(records.change_bytes(write.record) for write in self.writes)
 
 
@@ -44,9 +47,9 @@
         self._new_tasks: set[int] = set()
 
     def _current_admission_record(self) -> AdmissionRecord | None:
-        """Returns the job's admission record, or its equivalent for a job that was admitted as a whole without one.
+        """Returns the job's admission record; None if no task of the job was admitted yet.
 
-        Returns None if no task of the job was admitted yet.
+        A job that was admitted as a whole has no such record; the one that it would have is returned.
         """
         admission_record = self._state.admissions.get(self._job_id)
         allocations = self._state.allocations.get(self._job_id, {})
@@ -56,7 +59,7 @@
         return admission_record
 
     def add(self, grant: AdmissionGrant) -> None:
-        """Adds the tasks of a grant, except those that would exceed the transaction's limit of changes."""
+        """Adds the tasks of a grant, up to the first allocation that would exceed the limit of changes."""
         moved_indices = {index for indices in grant.moved_from.values() for index in indices}
         for start in range(0, len(grant.entries), self._tasks_per_record):
             entries = grant.entries[start : start + self._tasks_per_record]
@@ -75,8 +78,8 @@
     def build(self) -> JobAdmission:
         """Returns the record changes of the admission.
 
-        The admission record only counts the admitted tasks, so new tasks are admitted in order of their index. Those
-        that follow a gap, because others did not fit in the transaction, are left out.
+        The admission record holds only the number of admitted tasks, which are those with the lowest indices. If some
+        new tasks did not fit in the transaction, those with higher indices are therefore left out as well.
 
         A job that is admitted as a whole needs no admission record: its allocations exist until it has ended, so a
         delayed duplicate of the transaction that created them fails.
@@ -102,11 +105,14 @@
         return JobAdmission(self._job_id, tasks, [admission_write, *writes, *self._source_writes()])
 
     def _changes_to_rewrite(self, source: AllocationKey) -> int:
-        """Returns the largest number of changes needed to rewrite an allocation that tasks are moved out of."""
+        """Returns an upper bound of the changes that rewrite an allocation from which tasks are moved.
+
+        A record that was written under a higher size limit is split when it is rewritten.
+        """
         return records.pieces_of(self._state.allocations[source.job][source], self._tasks_per_record)
 
     def _source_writes(self) -> list[Write]:
-        """Returns the changes to allocations that tasks are moved out of; those without remaining tasks are deleted."""
+        """Returns the changes to allocations from which tasks are moved; those without other tasks are deleted."""
         writes: list[Write] = []
         for source, indices in self._moved_from.items():
             record = self._state.allocations[source.job][source]
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -19,7 +19,10 @@
 
 
 class JobFinalizer:
-    """Records final states of jobs. Only the leader may do so: each transaction guards the leader's record."""
+    """Records final states of jobs and deletes their other records, as far as the limits allow.
+
+    Only the leader may do so: each transaction guards the leader's record.
+    """
 
     def __init__(self, replica: Replica, view: FleetView, limits: StateLimits) -> None:
         self._replica, self._view = replica, view
@@ -44,7 +47,9 @@
     async def finalize_jobs(self) -> None:
         """Records the final states of completed jobs, and of cancelled ones whose tasks have all left their machines.
 
-        Checks only jobs with changed records, and commits several final states in one transaction.
+        Checks only jobs with changed records, at most `MAX_JOBS_PER_ROUND`, and commits several final states in one
+        transaction. A job is checked again in the next round until its record is deleted, so that failed transactions
+        are repeated.
         """
         for key in self._changed_keys:
             if key.startswith(records.JOB):
@@ -86,7 +91,7 @@
         log.debug("final job states committed count=%d status=%s", len(job_ids), result.status.value)
 
     def final_record(self, job_id: str) -> FinalRecord | None:
-        """Returns the final record of a job; None if the job has not ended, or is not on record."""
+        """Returns the final record of a job; None if the job has not ended, or has no job record."""
         state = self._replica.state
         record = state.jobs.get(job_id)
         if record is None:
@@ -101,16 +106,17 @@
         entries = [entry for allocation in allocations.values() for entry in allocation.tasks]
         ended = sum(entry.state == records.ENDED for entry in entries)
         if job.gang and ended and not any(entry.state == records.ASSIGNED for entry in entries):
-            return FinalRecord(wire.DONE, record.spec.tasks)  # members complete together, also those without a machine
+            return FinalRecord(wire.DONE, record.spec.tasks)  # members complete together, also unassigned ones
         return FinalRecord(wire.DONE, record.spec.tasks) if ended >= record.spec.tasks else None
 
     def _final_writes(self, job_id: str, final: FinalRecord) -> tuple[list[Write], set[str]]:
+        """Returns the changes that record a final state, and the allocations to guard, as far as the limits allow."""
         state = self._replica.state
         writes = [Write(records.FINAL + job_id, final), Write(records.JOB + job_id, None)]
         if job_id in state.admissions:
             writes.append(Write(records.ADMISSION + job_id, None))
-        # Partition owners' clean-up deletes the allocations that don't fit here, and all of them while the rate limit
-        # leaves no changes to spare.
+        # Partition owners later delete the allocations that don't fit in this transaction. While the rate limit leaves
+        # no changes to spare, they delete all of them.
         allocations = [str(key) for key in state.allocations.get(job_id, {})]
         if self._replica.store.rates.can_write_now(Urgency.ENDS):
             writes += [Write(key, None) for key in allocations[: self._max_changes - len(writes)]]
--- a/spurarch/coordination/admission/replica_planner.py
+++ b/spurarch/coordination/admission/replica_planner.py
@@ -1,4 +1,4 @@
-"""Plans the admission of service replicas, and of other tasks that a job spreads over zones."""
+"""Plans the admission of service replicas, and of other tasks whose number per zone is limited."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class ReplicaPlanner:
-    """Assigns each task to a zone with the fewest tasks of the job, if possible to a machine with its image."""
+    """Spreads the tasks of a job evenly over two zones if possible, and prefers machines that have its image."""
 
     def __init__(self, state: PlanningState, preemption: PreemptionPlanner) -> None:
         self._state, self._preemption = state, preemption
 
     def assign(self, job: JobView, only_zone: int | None, count: int) -> ZoneAssignment:
-        """Assigns up to `count` tasks, only to `only_zone` if it is given."""
+        """Books up to `count` tasks on machines, only in `only_zone` if given; returns the number for each zone."""
         tasks_by_zone = dict(job.tasks_by_zone)
         assignment = ZoneAssignment()
         for _ in range(count):
@@ -36,6 +36,12 @@
     def _choose_machine(
         self, job: JobView, only_zone: int | None, tasks_by_zone: dict[int, int], assignment: ZoneAssignment
     ) -> MachineCapacity | None:
+        """Returns the machine for the next task, or None if there is none.
+
+        Tries, in this order: machines with free capacity, group by group of `_zones_by_preference`; machines where work
+        of lower priority can be preempted; booting machines. If the machine with free capacity lacks the image,
+        preemption on a machine of the same group that has the image is preferred.
+        """
         state, requirements, max_per_zone = self._state, job.requirements, job.max_tasks_per_zone
         allowed_zones = [
             zone
@@ -61,7 +67,10 @@
     def _choose_booting(
         self, job: JobView, allowed_zones: list[int], tasks_by_zone: dict[int, int], assignment: ZoneAssignment
     ) -> MachineCapacity | None:
-        """Returns a booting machine that fits, in the order of `_zones_by_preference`; None if there is none."""
+        """Returns a booting machine of the first zone, by preference, where one fits; None if there is none.
+
+        Counts the task in `assignment.on_booting_machines`.
+        """
         state = self._state
         for zones in _zones_by_preference(allowed_zones, tasks_by_zone):
             for zone in zones:
@@ -76,10 +85,12 @@
 
 
 def _zones_by_preference(zones: list[int], tasks_by_zone: dict[int, int]) -> Iterable[list[int]]:
-    """Yields groups of zones, in order of preference for the next replica.
+    """Yields groups of zones for the next replica, the preferred group first.
 
-    Replicas are first spread evenly over two zones, since half of a service's replicas may be in one zone. Every
-    further zone would cost two more record changes per service, and these are the scarcest resource of a large fleet.
+    `tasks_by_zone` holds the job's tasks so far. Replicas are spread evenly over two zones: a zone is allowed half of
+    the replicas of a service that is spread, so two are enough. Each further zone needs an allocation record of its
+    own, which costs two more record changes per service, and the rate of record changes is the scarcest resource of a
+    large fleet.
     """
     used = [zone for zone in zones if tasks_by_zone.get(zone, 0) > 0]
     if len(used) >= SPREAD_ZONES:
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -1,7 +1,8 @@
 """In-memory view of the whole fleet: capacity of machines, charges of teams, and unassigned tasks of partitions.
 
 Each update applies only the records that changed. The leader uses the view for admission and partition owners use it
-for placement; both work on its dense indices instead of names.
+for placement. Zones, machine types, teams, images and machines are identified by dense integer indices, which
+`StringInterner` assigns to their names.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 class FleetView:
-    """Tables of machines, jobs and teams, indexed by dense integers and job ids."""
+    """Tables of machines and teams by dense index, and of jobs by id, built from a `ClusterState`."""
 
     def __init__(
         self, state: ClusterState, teams: Iterable[Team], size_weight: float = 0.0, objectives: Iterable[Objective] = ()
@@ -46,7 +47,7 @@
         self._booked: dict[AllocationKey, AllocationTotals] = {}
         self._allocations_without_job: dict[str, set[AllocationKey]] = {}  # by job id, for jobs without a record
         self._unassigned: dict[AllocationKey, AllocationTotals] = {}
-        self._assigned: dict[int, dict[AllocationKey, int]] = defaultdict(dict)  # by machine, the number of tasks
+        self._assigned: dict[int, dict[AllocationKey, int]] = defaultdict(dict)  # number of tasks by machine and key
         self._cached_images: dict[int, dict[int, None]] = defaultdict(dict)  # by machine, the latest used last
         self._guaranteed = GuaranteedJobs(self.jobs, self.quotas)
         self.ranking = JobRanking(self.jobs, self._guaranteed, size_weight)
@@ -57,14 +58,18 @@
             self.quotas[self.teams.index(team.name)] = team
 
     def set_machine_types(self, offers: list[wire.MachineType]) -> None:
-        """Sets the machine types that the cloud offers; machines of newly listed types are added by the next update."""
+        """Sets the machine types that the cloud offers.
+
+        The next update adds the recorded machines of types that were not listed before. The capacity of machines that
+        are in the view stays as it is.
+        """
         has_new_types = any(offer.name not in self.machine_types for offer in offers)
         self.machine_types = {offer.name: offer for offer in offers}
         if has_new_types:
             self._changed_keys.update((key, None) for key in self.state.entries if key.startswith(records.MACHINE))
 
     def update(self) -> None:
-        """Applies the records that have changed since the last update."""
+        """Applies the records changed since the last update, and checks the teams' totals against their quotas."""
         if not self._changed_keys:
             return
         was_consistent = self._was_consistent
@@ -95,7 +100,7 @@
         self._update_unreadable_teams()
 
     def _update_unreadable_teams(self) -> None:
-        """Blocks admission for teams with a job whose record can't be decoded, since their charges are unknown."""
+        """Blocks admission for teams with a job any of whose records can't be decoded: their charges are unknown."""
         if not self.state.unreadable and not self.ledger.teams_with_unreadable_jobs:
             return
         unreadable_teams: set[int] = set()
@@ -109,7 +114,7 @@
         self.ledger.teams_with_unreadable_jobs = unreadable_teams
 
     def rebook_job(self, job_id: str) -> None:
-        """Replaces a job's bookings by those that its records show."""
+        """Recomputes a job's bookings and counts from its records."""
         self._apply_job(job_id)
         booked = [allocation for allocation in self._booked if allocation.job == job_id]
         for allocation in [*self.state.allocations.get(job_id, ()), *booked]:
@@ -117,13 +122,13 @@
         self._update_demand(job_id)
 
     def _update_demand(self, job_id: str) -> None:
-        """Updates a job's admitted and unfinished tasks; removes a job whose record and allocations were deleted."""
+        """Updates a job's numbers of admitted and unfinished tasks; removes a job without record and allocations."""
         job = self.jobs.get(job_id)
         if job is None:
             return
         record = self.state.jobs.get(job_id)
         admission = self.state.admissions.get(job_id)
-        # Without an admission record, one transaction admitted either all tasks or none.
+        # A job without an admission record has all of its tasks admitted, by one transaction, or none.
         job.admitted = admission.next if admission else job.tasks if job_id in self.state.allocations else 0
         active = record is not None and not record.cancelled
         self._guaranteed.set_unfinished_tasks(job_id, job.tasks - job.ended if active else 0)
@@ -138,11 +143,11 @@
         return {zone for zone, member in owners.items() if member is not None and zone in member.unreachable_zones}
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Ids of the jobs that the team's guarantee covers together with its earlier jobs; they rank before others."""
+        """Ids of the jobs within their team's guarantee, after its earlier jobs; they rank first in their priority."""
         return self._guaranteed.job_ids()
 
     def borrowed_cpus(self, team: int) -> float:
-        """CPUs that a team uses beyond its guarantee, which other teams may preempt; negative if it uses fewer."""
+        """CPUs that a team uses beyond its guarantee and that other teams may preempt; negative if it uses less."""
         quota = self.quotas.get(team)
         return sum(self.running_cpus[team].values()) - (quota.guaranteed_cpus if quota is not None else 0.0)
 
@@ -216,8 +221,9 @@
     def _apply_allocation(self, allocation: AllocationKey) -> None:
         job = self.jobs.get(allocation.job)
         if job is None:
-            # The job has ended or was not read yet: keys are read in order, allocations before jobs. The allocation is
-            # applied when its job is read, or it would never be charged (docs/incidents/2026-12-02-team-limit.md).
+            # The job has ended, or its record was not read yet: records are read in order of their keys, allocations
+            # before jobs. The allocation is kept until the job's record is read; otherwise it would never be charged
+            # (docs/incidents/2026-12-02-team-limit.md).
             self._track_without_job(allocation)
             return
         charged = 0  # change of the number of charged tasks
@@ -283,12 +289,15 @@
             capacity.images = set(cached)
 
     def image_fetch_s(self, job: JobView) -> float:
-        """Seconds that the fastest machine type takes to fetch the job's image; 0 if no type has a known rate."""
+        """Seconds that machines with the highest fetch rate take to fetch the job's image; 0 if no rate is known."""
         rate = max((offer.fetch_gb_per_s for offer in self.machine_types.values()), default=0.0)
         return job.image_gb / rate if rate > 0 else 0.0
 
     def unassigned_tasks(self) -> list[tuple[AllocationKey, JobView, int, int]]:
-        """Allocations with unassigned tasks: key, job, their number, and the number of those with repeated attempts."""
+        """Allocations with unassigned tasks.
+
+        Returns the key, the job, the number of unassigned tasks, and how many of these were started repeatedly before.
+        """
         return [
             (allocation, self.jobs[allocation.job], totals.unassigned, totals.repeatedly_attempted)
             for allocation, totals in self._unassigned.items()
--- a/spurarch/coordination/partition/direct_commands.py
+++ b/spurarch/coordination/partition/direct_commands.py
@@ -1,4 +1,7 @@
-"""Plans commands to a worker's own address, and applies their responses or the lack of one. No I/O."""
+"""Plans direct commands and handles their responses and failures. No I/O.
+
+Direct commands are sent to a worker's own address; heartbeat responses carry commands as well.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,11 @@
         self._state, self._commands, self._statuses, self._stops = state, commands, statuses, stops
 
     def next_request(self, machine: Machine) -> wire.DirectCommands | None:
-        """Returns a request with the commands to send now and counts it as in flight, or None if there are none."""
+        """Returns a request with the commands to send now and counts it as in flight; None if there is nothing to send.
+
+        Before the partition's records are read, and while earlier commands may still take effect, it holds only stops
+        without a grace period.
+        """
         if machine.state is not MachineState.ACTIVE or machine.commands_in_flight or not machine.addr:
             return None
         if self._state.records_read and machine.late_commands_fenced:
@@ -33,9 +40,9 @@
 
     @staticmethod
     def _immediate_stops(machine: Machine) -> list[wire.Command]:
-        """Returns the stops without a grace period, which may be sent while earlier commands may still take effect.
+        """Returns the stops without a grace period, which are sent even while earlier commands can still take effect.
 
-        A machine whose heartbeats do not arrive never acknowledges the higher token that rules out late commands, and
+        A machine whose heartbeats do not arrive does not acknowledge the higher token that rules out late commands, but
         its cancelled tasks must be stopped all the same.
         """
         return [
@@ -47,7 +54,9 @@
     def on_response(
         self, machine: Machine, sent: wire.DirectCommands, heartbeat: wire.Heartbeat | None, now: float
     ) -> None:
-        """Applies the response to a request, whose commands were executed or refused and cannot arrive later.
+        """Applies the response to a request.
+
+        It proves that the worker has executed or refused the commands, so they cannot take effect later.
 
         Args:
             machine: The worker's machine.
@@ -73,8 +82,9 @@
     def on_failure(self, machine: Machine, sent: wire.DirectCommands, may_have_arrived: bool) -> None:
         """Handles a request that got no response.
 
-        Commands that were sent may take effect minutes later. The machine therefore gets a higher fencing token, and
-        they can no longer take effect once the worker has acknowledged it.
+        Commands that may have been sent may still arrive minutes later. The machine therefore gets a higher fencing
+        token; once the worker has acknowledged it, it rejects those commands. Commands to an earlier incarnation need
+        no new token, since the worker rejects them in any case.
 
         Args:
             machine: The worker's machine.
--- a/spurarch/coordination/partition/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -1,4 +1,4 @@
-"""A partition owned by this controller with its owner's working state, and the dependencies of an owner."""
+"""A partition that this controller owns, with timers and flags of its rounds, and the dependencies of its owner."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     """Dependencies of a partition owner.
 
     Attributes:
-        lag: Lag of the event loop; local searches are postponed while it is high.
+        lag: Lag of the event loop; while it is high, the local search, which migrates tasks, is postponed.
         coverage: Which changes the archive holds; None without an archive.
     """
 
@@ -59,10 +59,17 @@
     Attributes:
         changed_keys: Keys of changed records that are not applied to the partition yet, in order.
         wakeup: Set when there is work for the partition's next round.
+        next_search: When the next local search is due; 0 before the first round.
+        next_tick: When the partition's periodic work is due.
+        next_idle_check: When idle machines are next looked for.
+        next_silence_check: When silent machines are next looked for.
+        next_overdue_check: When machines are next looked for that did not stop cancelled tasks in time.
         last_deletion_at: When allocations of finished jobs were last deleted.
         last_populated_at: When the partition last had machines.
-        provisional: The state comes from records read before the claim, and serves only to stop cancelled tasks.
-        mostly_silent: Whether most machines of the partition are silent.
+        is_running: Whether the event-loop tasks that run rounds and send commands were started.
+        provisional: Whether records that were read before the claim were applied, since newer ones could not be read;
+            until they are, the partition's state is used only to stop cancelled tasks.
+        mostly_silent: Whether most machines of the partition are silent, by `is_mostly_silent`.
         mostly_silent_since: Since when most machines are silent; None if they aren't.
     """
 
@@ -85,14 +92,14 @@
 
     @cached_property
     def placer(self) -> TaskPlacer:
-        """Places waiting tasks. Imported by the first round, since answering workers doesn't need it."""
+        """Places waiting tasks. Imported on first use, since a controller that starts has to answer workers first."""
         from spurarch.coordination.scheduling.placement import TaskPlacer
 
         return TaskPlacer(self._tuning.longest_wait_s, self._tuning.guarantee_wait_s, self._silent_s)
 
     @cached_property
     def terminal_records(self) -> TerminalRecords:
-        """Determines which ended tasks have to be recorded. Imported by the first round."""
+        """Determines which ended tasks have to be recorded. Imported on first use, like `placer`."""
         from spurarch.coordination.partition.terminal_records import TerminalRecords
 
         return TerminalRecords(self.partition.state)
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -1,8 +1,8 @@
-"""In-memory tables of one partition, built by its owner from records and heartbeats. No I/O; callers pass the time.
+"""In-memory tables of one partition, built by its owner from records and heartbeats. No I/O; callers set `now`.
 
 Each method keeps several tables consistent, and every change of an attempt's phase goes through
-`PartitionState.transition`. Pending records, commands and deletions are collected when their cause occurs, so that no
-heartbeat, record change or round has to scan the whole partition.
+`PartitionState.transition`. Work to do later (ends to record, commands to send, allocations to delete) is queued when
+its cause occurs, so that no heartbeat, record change or round has to scan the whole partition.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from spurarch.storage.records import AllocationKey, TaskEntry
 
 TOKEN_BITS = 36  # low bits of a fencing token, which hold a counter; the higher bits hold the epoch
-RELEASED_MACHINES_KEPT = 20_000  # machine names; several times the size of a fleet
+RELEASED_MACHINES_KEPT = 20_000  # machine names; several times the number of machines in a fleet
 
 
 class ArchiveCoverage(Protocol):
-    """Reports up to which revision the archive holds the records."""
+    """Reports up to which revision the archive holds all changes of records."""
 
     def recorded(self) -> int:
         """Returns a revision that includes all records that this controller has now."""
@@ -45,11 +45,11 @@
     """Information that a partition gets from its controller.
 
     Attributes:
-        image_of: Returns the number of a job's image, or None if the job is unknown.
+        image_of: Returns the dense index of a job's image, or None if the job is unknown.
         time_since_cancellation: Returns the seconds since a job was cancelled, or None if no cancellation is known.
         may_start: Whether the records are reliable enough to start tasks.
-        coverage: Coverage of the archive, which has to hold an exit before the worker may forget it; None without an
-            archive.
+        coverage: Coverage of the archive, which has to hold the end of a completed task before the worker is told to
+            forget the task; None without an archive.
         violations: Counts violated invariants.
     """
 
@@ -66,12 +66,12 @@
     def __init__(self, zone: str, epoch: int, now: float) -> None:
         self.zone, self.epoch = zone, epoch
         self.lowest_token = epoch << TOKEN_BITS  # the lowest fencing token of this epoch
-        self.highest_token_counter = 0  # the highest that was issued to any machine
+        self.highest_token_counter = 0  # the highest counter that was issued to any machine
         self.claimed_at = self.now = now
         self.capacity_added_at = now  # when a machine last became active
         self.unreachable = False  # no controller receives heartbeats from the zone
         self.records_read = False  # the partition's records were read after it was claimed
-        self.scheduling_triggers = 0  # machines that became active and tasks that left: capacity may be free
+        self.scheduling_triggers = 0  # counts activated machines and ended attempts: capacity may be free
         self.machines: dict[str, Machine] = {}
         self.attempts: dict[TaskKey, TaskAttempt] = {}
         self.attempts_by_allocation: dict[AllocationKey, dict[int, TaskAttempt]] = {}
@@ -79,7 +79,7 @@
         self.unassigned: dict[AllocationKey, list[TaskEntry]] = {}
         self.gangs = Gangs()
         self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not on record yet
-        self.allocations_to_restart: set[AllocationKey] = set()  # those with a terminal attempt that did not complete
+        self.allocations_to_restart: set[AllocationKey] = set()  # those with a terminal attempt of an incomplete task
         self.orphaned_allocations: set[AllocationKey] = set()  # those whose job may have ended or been cancelled
         self.machines_needing_commands: dict[str, None] = {}
         self.machines_with_cancelled_tasks: dict[str, None] = {}
@@ -92,19 +92,19 @@
         return self.lowest_token + machine.token_counter
 
     def next_token_counter(self) -> int:
-        """Returns an unused counter: a heartbeat that carries it proves that the worker received it from this owner."""
+        """Returns an unused counter; a heartbeat that carries it proves that the worker received it from this owner."""
         self.highest_token_counter += 1
         return self.highest_token_counter
 
     def add_machine(self, name: str, machine_type: str, spot: bool, addr: str, schedulable: bool = True) -> Machine:
-        """Adds and returns a machine that was first found in a record or by its heartbeat."""
+        """Adds and returns a machine that a record or a heartbeat names for the first time."""
         machine = Machine(name, self.zone, machine_type, spot, addr, self.now, schedulable=schedulable)
         machine.first_token_counter = machine.token_counter = self.next_token_counter()
         self.machines[name] = machine
         return machine
 
     def remember_released(self, name: str) -> None:
-        """Keeps the name of a released machine, since older heartbeats and records of it may still arrive."""
+        """Keeps the name of a released machine, since late heartbeats and records of it may still arrive."""
         self.released_machines[name] = None
         if len(self.released_machines) > RELEASED_MACHINES_KEPT:
             del self.released_machines[next(iter(self.released_machines))]
@@ -112,7 +112,7 @@
     # Attempts
 
     def transition(self, attempt: TaskAttempt, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
-        """Changes an attempt's phase; returns False for an invalid change. Queues terminal attempts for recording."""
+        """Changes an attempt's phase, queues a terminal attempt for recording; returns False for an invalid change."""
         if not attempt.transition(phase, exit_reason):
             return False
         if phase in (AttemptPhase.EXITED, AttemptPhase.GONE):
--- a/spurarch/coordination/scheduling/round_capacities.py
+++ b/spurarch/coordination/scheduling/round_capacities.py
@@ -1,4 +1,4 @@
-"""The machines of a partition as one placement round sees them, with the bookings made so far in the round."""
+"""The machines on which one placement round of a partition may place tasks, and the bookings made in the round."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 class RoundCapacities:
     """Schedulable machines of one partition during one round.
 
-    The capacity tables are shared with all other decisions, so the code that runs the round has to undo `bookings` at
-    its end.
+    The `MachineCapacity` objects belong to the fleet view, which other decisions use as well, so the code that runs the
+    round has to undo `bookings` at its end.
 
     Attributes:
-        bookings: The round's changes to the shared tables.
-        schedulable: Machines that take new tasks.
-        with_free_cpus: Machines for arrays: those with free CPUs that are not reserved for gangs.
-        reserved_for_gangs: Machines that are not used for arrays.
+        bookings: Bookings that the round has made on the fleet view.
+        schedulable: Machines that take new tasks and were heard from recently, without those excluded in this round.
+        with_free_cpus: Those of them with free CPUs that are not reserved for gangs; empty until
+            `collect_with_free_cpus` is called.
+        reserved_for_gangs: Machines that arrays must not use; service replicas use them if they fit nowhere else.
     """
 
     def __init__(self, partition: Partition, view: FleetView, now: float, max_silence_s: float) -> None:
@@ -43,7 +44,7 @@
 
     @cached_property
     def by_name(self) -> dict[str, MachineCapacity]:
-        """The schedulable machines by name."""
+        """The schedulable machines by name, as of the first use; `exclude` does not remove machines from it."""
         return {self._machine_names.name(capacity.machine): capacity for capacity in self.schedulable}
 
     def find(self, machine: int) -> MachineCapacity | None:
@@ -51,7 +52,7 @@
         return next((capacity for capacity in self.schedulable if capacity.machine == machine), None)
 
     def find_fitting(self, name: str, requirements: Requirements) -> MachineCapacity | None:
-        """Returns the schedulable machine of this name, or None if the task doesn't fit there."""
+        """Returns the schedulable machine of this name if the task fits there, else None."""
         for capacity in self.schedulable:
             if self._machine_names.name(capacity.machine) == name and capacity.fits(requirements):
                 return capacity
@@ -70,12 +71,12 @@
         self.with_free_cpus = [capacity for capacity in self.with_free_cpus if capacity.free_cpus > EPSILON]
 
     def reserve_for_gangs(self, machines: frozenset[int]) -> None:
-        """Reserves machines for gangs, so that arrays are not placed on them."""
+        """Adds machines to `reserved_for_gangs` and removes them from `with_free_cpus`."""
         self.reserved_for_gangs += [capacity for capacity in self.schedulable if capacity.machine in machines]
         self.with_free_cpus = [capacity for capacity in self.with_free_cpus if capacity.machine not in machines]
 
     def not_reserved_for_gangs(self) -> list[MachineCapacity]:
-        """Returns the schedulable machines that are not reserved for gangs, full or not."""
+        """Returns the schedulable machines that are not reserved for gangs, also those without free CPUs."""
         reserved = {capacity.machine for capacity in self.reserved_for_gangs}
         return [capacity for capacity in self.schedulable if capacity.machine not in reserved]
 
@@ -89,5 +90,5 @@
         self._unplaceable.append(requirements)
 
     def is_unplaceable(self, requirements: Requirements) -> bool:
-        """Returns whether a task that requires no more than this one fitted on no machine in this round."""
+        """Returns whether this round has found no machine for a task that requires the same or less."""
         return any(requirements.requires_at_least(other) for other in self._unplaceable)
--- a/spurarch/recovery/heartbeat_collector.py
+++ b/spurarch/recovery/heartbeat_collector.py
@@ -1,9 +1,11 @@
-"""Answers and collects workers' heartbeats while the history is closed.
+"""Answers and collects workers' heartbeats while the records are rebuilt after the state service has lost data.
 
-A response carries the first fencing token of an epoch above all epochs ever assigned, and commands that stop cancelled
-tasks. A worker that reports this token has received the response: it ignores commands of earlier partition owners, and
-keeps its attempts. A response also renews the worker's lease. It is therefore sent only if this controller can't have
-missed a cancellation for too long, or if no task runs on the worker.
+The rebuild chooses a partition epoch above all that were ever assigned. A response carries the first fencing token of
+this epoch, and commands that stop cancelled tasks. A worker that reports the token has received a response: it ignores
+commands of earlier partition owners, and keeps its attempts.
+
+A response also renews the worker's lease. If tasks run on the worker, it is therefore sent only while a cancellation
+that this controller may have missed can't become overdue.
 """
 
 from __future__ import annotations
@@ -20,16 +22,16 @@
 
 
 class HeartbeatCollector:
-    """Heartbeats with the rebuild's token that this controller received: the newest of each worker, by arrival.
+    """Collects the heartbeats with the rebuild's token that this controller receives: the newest of each worker.
 
-    `may_answer` returns whether leases may be renewed at a time of the monotonic clock. `is_cancelled` returns whether
-    the job with an id is cancelled.
+    `may_answer` takes a time of the monotonic clock and returns whether leases may be renewed then. `is_cancelled`
+    takes a job id and returns whether the job is known to be cancelled.
     """
 
     def __init__(self, may_answer: Callable[[float], bool], is_cancelled: Callable[[str], bool]) -> None:
         self._may_answer, self._is_cancelled = may_answer, is_cancelled
-        self.epoch = 0  # of the rebuild in progress; 0 until one has chosen an epoch
-        self.highest_epoch = 0  # highest epoch other than `epoch` that a worker reported
+        self.epoch = 0  # of the rebuild in progress; 0 until a rebuild has chosen one
+        self.highest_epoch = 0  # highest other epoch that a worker reported or a copy of the records has
         self._heartbeats: dict[str, wire.Heartbeat] = {}
         self._arrival_order: list[str] = []
 
@@ -49,7 +51,7 @@
         return self.epoch << TOKEN_BITS
 
     def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
-        """Answers a heartbeat: status 200 renews the worker's lease, 503 makes it try another controller."""
+        """Answers and collects a heartbeat: status 200 renews the lease, 503 sends the worker to another controller."""
         reported_epoch = heartbeat.fencing_token >> TOKEN_BITS
         if reported_epoch != self.epoch:
             self.highest_epoch = max(self.highest_epoch, reported_epoch)
@@ -64,7 +66,7 @@
     def _stop_commands(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Returns commands that stop cancelled tasks.
 
-        These need no record, so cancelled tasks end in time however long the rebuild takes.
+        They don't wait for the records, so cancelled tasks end in time however long the rebuild takes.
         """
         return [
             wire.Command(wire.STOP, task.task, task.attempt, 0.0)
@@ -79,9 +81,10 @@
             self._arrival_order.append(heartbeat.machine)
 
     def page(self, epoch: int, after: int) -> HeartbeatsPage:
-        """Returns heartbeats with an epoch's token from the position `after` on, and the position after them.
+        """Returns collected heartbeats from position `after` on, the next position, and the highest other epoch seen.
 
-        The page is empty, with the position 0, if this is not the epoch in progress.
+        Positions count arrivals. A worker with several arrivals in the page is listed once, with its newest heartbeat.
+        If `epoch` is not that of the rebuild in progress, there are no heartbeats, and the position is 0.
         """
         if epoch != self.epoch:
             return HeartbeatsPage([], 0, self.highest_epoch)
--- a/tests/sim/clock.py
+++ b/tests/sim/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: curio runs on a selector that advances a clock instead of waiting."""
+"""Virtual time: when all tasks of curio wait, the clock advances at once to the next timeout."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class JumpingSelector(selectors.SelectSelector):
-    """A selector without ready files; a timeout advances the clock."""
+    """A selector that never reports a file as ready, and advances the clock instead of waiting for a timeout."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__()
         self._clock = clock
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Advances the clock by the timeout; raises RuntimeError if there is none, as every task would wait forever."""
+        """Advances the clock by the timeout; raises RuntimeError without one, since all tasks would wait forever."""
         if timeout is None:
             raise RuntimeError("deadlock: all tasks wait, and none of them has a timeout")
         if timeout > 0:
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """The time, in seconds, that all code under test reads."""
+    """The virtual time, in seconds; `time.monotonic` and `time.time` are derived from it while `run` runs."""
 
     def __init__(self) -> None:
         self.now = 1000.0
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -1,4 +1,4 @@
-"""A simulated network between hosts: latency, and faults that hold or drop requests or responses."""
+"""A simulated network between hosts: latency, and faults that delay or drop requests or responses."""
 
 from __future__ import annotations
 
@@ -17,11 +17,16 @@
 
 @dataclass
 class LinkFault:
-    """A fault between two hosts until a given time; `*` is any host.
+    """A fault between the hosts `a` and `b`, active until the virtual time `until`; `*` stands for any host.
 
-    Modes: `drop` drops requests in both directions; `hold` delivers them when the fault ends; with `deaf`, requests of
-    `a` arrive, but responses and requests to it are dropped; with `mute`, requests of `a` are dropped, while requests
-    to it and their responses arrive.
+    Values of `mode`:
+        drop: Requests in both directions are dropped.
+        hold: Requests in both directions get no response, and are delivered when the fault ends.
+        deaf: Requests from `a` are delivered, but `a` gets no response; requests to `a` are dropped.
+        mute: Requests from `a` are dropped; requests to `a` are delivered and get responses.
+
+    In all modes, a response is dropped if a fault that affects the request has begun in the meantime, and frames
+    between peers are dropped where requests would be affected.
     """
 
     a: str
@@ -31,7 +36,7 @@
 
 
 class Wire:
-    """All links between hosts."""
+    """The network of all hosts: servers by address, and the faults and latency of the links."""
 
     def __init__(self, clock: Clock, random: Random) -> None:
         self.clock, self.random = clock, random
@@ -39,11 +44,11 @@
         self.handlers: dict[str, Handler] = {}  # address -> server
         self.back_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}  # address -> server of peer frames
         self.link_faults: list[LinkFault] = []
-        self.doors: dict[str, Callable[[str], Handler]] = {}  # address -> function from client host to server
+        self.doors: dict[str, Callable[[str], Handler]] = {}  # address -> function from client host to its server
         self.slow_until, self.slow_s = 0.0, 0.0
 
     def latency_s(self) -> float:
-        """Returns the mean latency of a request, in seconds."""
+        """Returns the present mean latency of a request, in seconds; the response takes no further time."""
         return self.slow_s if self.clock.now < self.slow_until else LATENCY_S
 
     def active_fault(self, a: str, b: str) -> LinkFault | None:
@@ -57,7 +62,7 @@
         return None
 
     async def request(self, source: str, address: str, request: Request, timeout_s: float) -> Response:
-        """Delivers one request and returns its response; raises NoAnswerError if there is none in time."""
+        """Delivers a request from a host to an address and returns its response; raises NoAnswerError without one."""
         target = self.hosts[address]
         end = self.clock.now + timeout_s
         fault = self.active_fault(source, target)
@@ -86,7 +91,7 @@
         return response
 
     def handler(self, source: str, address: str) -> Handler | None:
-        """Returns the server at an address, or None; some servers have a handler for each client host."""
+        """Returns the server at an address for a client host, or None; most servers are the same for all hosts."""
         handler_for = self.doors.get(address)
         return handler_for(source) if handler_for is not None else self.handlers.get(address)
 
@@ -98,7 +103,7 @@
 
 
 class SimClient:
-    """A client on one host of the server at one address."""
+    """A client on one host, for the server at one address."""
 
     def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
         self._network, self._wire, self._source, self._address = network, wire, source, address
@@ -158,7 +163,7 @@
         self.ended = False
 
     async def block_if_ended(self) -> None:
-        """Blocks forever once the host's process has ended, as curio goes on running the tasks that it spawned."""
+        """Blocks forever once the host's process has ended, since curio still runs the tasks that it spawned."""
         while self.ended:
             await curio.sleep(1e6)
 
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -1,11 +1,11 @@
-"""Checks of a scenario: conditions of `sure`, a check during the whole run, and expectations at the end.
+"""Checks of a scenario: conditions at given times, a check throughout the run, and expectations at the end.
 
-Conditions (`sure CONDITION` or `sure not CONDITION`):
+Conditions, checked at the time of the line (`at SECONDS sure CONDITION` or `at SECONDS sure not CONDITION`):
 
     confirmed JOB             its user has received the confirmation of its cancellation
-    runs JOB                  a task of the job is on a machine, with its image
-    runs-all JOB              all tasks of a gang are running
-    gathers JOB               a task of a gang has its image and waits for the others
+    runs JOB                  a task of the job has its image on a machine and has not ended
+    runs-all JOB              all tasks of the gang are running
+    gathers JOB               a task of the gang has its image and waits for the other members
     up NODE                   the controller's process is running
     leads NODE                the controller is running and is the leader
     holds NODE ZONE           the controller owns the partition, by the records of the state service
@@ -20,18 +20,19 @@
 Expectations (`expect EXPECTATION`):
 
     told JOB STATE            the last answer to the job's user was this state, or the status that refused the job
-    on JOB N                  N tasks of the job are on machines
+    on JOB N                  N tasks of the job have their image on a machine and have not ended
     begun JOB SECONDS         the first task of the job started within this time after the submission
     attempts JOB N            N attempts of the gang have run
-    orderly JOB N             in N of them, the members saved their progress when they were stopped
+    orderly JOB N             N attempts of the gang were stopped, and all members saved their progress
     started N                 at most N tasks were started
-    started-once              no task started twice, except once more for each worker that lost it with its lease
-    session MACHINE N         the worker's incarnation is N; it rises by one when its lease expires
+    started-once              no task started more than once, not counting a start for each worker that lost the task
+                              when its lease expired
+    session MACHINE N         the worker's incarnation is N; it rises from 1 when its lease expires or it reboots
     gone MACHINE              the machine was released
     kept MACHINE              the machine was not released
     machines MIN MAX          the number of machines that are rented is in this range
     leaders N                 N leaders were killed by `kill-leader`
-    late-writes N M           at least N late transactions met their conditions, and at least M did not
+    late-writes N M           at least N late transactions were committed, and at least M were refused
     late-reports N            at least N late copies of heartbeats arrived
     repeated PREFIX N         at least N transactions that created a key with this prefix were repeated
     throttled N               at most N requests were over the rate limits of the state service
@@ -94,10 +95,12 @@
 async def watch_records(play: Play) -> None:
     """Checks throughout the run that no released machine is recorded as open to tasks.
 
-    During an outage of the state service, or while its responses are too slow, records can't be changed, so that time
-    is not counted. A late transaction may create the record again until the partition owner removes it; that this
-    happens repeatedly is a fault. If all controllers end, none of them has the release in memory: after their restart
-    they detect it by the missing heartbeats, as for any machine that has sent them none.
+    A record has to be removed within `RECORD_REMOVAL_S` of the release, not counting outages of the state service and
+    times of slow responses, when records can't be changed. A late transaction may create the record again, and the
+    partition owner has to remove it again; more than `MAX_RECORD_RETURNS` returns of one record are a fault.
+
+    If all controllers end, no memory of the release is left. After their restart, they have `silent_s` to find that the
+    machine sends no heartbeats, as for any machine that they have not heard from.
     """
     silent_s = max(1.5 * play.limits["lease_s"], play.limits["cancel_s"] - play.limits["lease_s"] + FIND_CONTROLLER_S)
     all_ended_at = float("-inf")
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The replica of the state service: own commits, watch events and responses may arrive in any order."""
+"""The copy of the records: responses to this controller's commits, and watch events, may arrive in any order."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def test_a_long_watch_response_is_applied_in_steps_that_never_split_a_transaction() -> None:
-    """After 90 s without the state service, a controller stalled: it applied all missed changes in one step."""
+    """After 90 s without the state service, a controller applied all missed changes in one step and stalled."""
     events = [
         wire.Event(
             put=f"{records.JOB}job-{n}",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,7 @@
-"""Records and messages must be readable across versions, by this version and by the one in production."""
+"""Records and messages must be readable by this version and by the earlier one, in both directions.
+
+The earlier version is the last one before `records.GANG_VERSION`, which does not start the tasks of a gang together.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from spurarch.storage.rate_limits import AdaptiveFactor
 from spurarch.storage.records import AllocationRecord, MemberRecord, TaskEntry
 
-# As written by the version before gangs.
+# As written by the earlier version.
 FROZEN_RECORDS = {
     "live/job/job-1": b'{"spec":{"ref":"job-1","circuit":"c","crew":"t","gait":"gang","precedence":"high","legs":2,'
     b'"vcpus":1.0,"gpus":0.0,"memory_gb":2.0,"kit":"i","pull_gb":0.5,"together":true,"spread":false,"lendable":true,'
@@ -36,7 +39,7 @@
 
 
 class EarlierMember(msgspec.Struct):
-    """The member record of the version before gangs."""
+    """The member record of the earlier version."""
 
     node: str
     boot: str
@@ -46,7 +49,7 @@
 
 
 class EarlierLoad(msgspec.Struct, tag="load", array_like=True):
-    """The load message of the version before gangs."""
+    """The load message of the earlier version."""
 
     node: str
     writes: float
