--- a/spurarch/archive/changes.py
+++ b/spurarch/archive/changes.py
@@ -10,7 +10,7 @@
     HISTORY,
     OPEN,
     PACKED,
-    UNARCHIVED,
+    UNARCHIVED_PREFIXES,
     HistoryRecord,
     decode_history,
     is_record_key,
@@ -18,7 +18,7 @@
 from spurarch.storage.records import FINAL, LIVE
 from spurarch.storage.seeds import SEED
 
-ARCHIVED_PREFIXES = (LIVE, FINAL, PACKED, SEED)  # except keys that start with a prefix in `UNARCHIVED`
+ARCHIVED_PREFIXES = (LIVE, FINAL, PACKED, SEED)  # except keys that start with a prefix in `UNARCHIVED_PREFIXES`
 
 
 class HistoryEndedError(SpurarchError):
@@ -48,10 +48,10 @@
         if key.startswith(HISTORY):
             continue
         if not key.startswith(history.prefix):
-            if event.put is None or key.startswith(UNARCHIVED) or not is_record_key(key):
+            if event.put is None or key.startswith(UNARCHIVED_PREFIXES) or not is_record_key(key):
                 continue
             raise HistoryEndedError(f"{key} was written outside the history")
         key = key[len(history.prefix) :]
-        if key.startswith(ARCHIVED_PREFIXES) and not key.startswith(UNARCHIVED):
+        if key.startswith(ARCHIVED_PREFIXES) and not key.startswith(UNARCHIVED_PREFIXES):
             entries.append(Entry(event.version, key, bytes(event.value) if event.put else None))
     return entries
--- a/spurarch/archive/commands.py
+++ b/spurarch/archive/commands.py
@@ -12,8 +12,8 @@
 from spurarch.archive.directory import (
     ArchiveBusyError,
     EmptyArchiveError,
-    files,
-    histories,
+    list_files,
+    list_history_directories,
     lock_archive,
     prune,
 )
@@ -81,7 +81,7 @@
 
     Raises `DamagedFileError`.
     """
-    directories = histories(root)
+    directories = list_history_directories(root)
     try:
         return read_state(directories[-1]) if directories else None
     except EmptyArchiveError:
@@ -90,7 +90,7 @@
 
 def read_history_state(root: Path, name: str) -> ArchivedState | None:
     """Returns the newest state of the named history; None if it isn't archived or can't be read."""
-    directories = [path for path in histories(root) if path.name.endswith(f"-{name}")] if name else []
+    directories = [path for path in list_history_directories(root) if path.name.endswith(f"-{name}")] if name else []
     try:
         return read_state(directories[-1]) if directories else None
     except (EmptyArchiveError, DamagedFileError) as err:
@@ -148,7 +148,7 @@
 
 def _selected_history(args: argparse.Namespace) -> Path:
     """Returns the directory of the history named by `--history`, else of the newest. Raises `EmptyArchiveError`."""
-    directories: list[Path] = histories(args.directory)
+    directories: list[Path] = list_history_directories(args.directory)
     if args.history:
         directories = [path for path in directories if path.name.endswith(f"-{args.history}")]
     if not directories:
@@ -167,9 +167,9 @@
 
 
 def _list(args: argparse.Namespace) -> int:
-    for directory in histories(args.directory):
+    for directory in list_history_directories(args.directory):
         print(directory.name)
-        for file in files(directory):
+        for file in list_files(directory):
             size = file.path.stat().st_size
             print(f"  {file.path.name}  {file.header.kind.value} from revision {file.header.revision}, {size} bytes")
     return 0
@@ -183,7 +183,7 @@
 
 def _prune(args: argparse.Namespace) -> int:
     with lock_archive(args.directory):
-        for directory in histories(args.directory):
+        for directory in list_history_directories(args.directory):
             for path in prune(directory, max(1, args.keep)):
                 print(f"removed {directory.name}/{path.name}")
     return 0
--- a/spurarch/archive/directory.py
+++ b/spurarch/archive/directory.py
@@ -73,12 +73,12 @@
     return root / f"{number:06d}-{name}"
 
 
-def histories(root: Path) -> list[Path]:
+def list_history_directories(root: Path) -> list[Path]:
     """Returns the directories of all histories, oldest first."""
     return sorted(path for path in root.glob("[0-9]*-*") if path.is_dir())
 
 
-def files(directory: Path) -> list[ArchiveFile]:
+def list_files(directory: Path) -> list[ArchiveFile]:
     """Returns all complete files of a history by revision, a snapshot before the change log that follows it.
 
     Raises `DamagedFileError` if a header can't be read.
@@ -105,10 +105,10 @@
 
 def write_snapshot(root: Path, state: ArchivedState) -> Path:
     """Writes a snapshot of all records and returns its path; raises `OSError`."""
-    directory = history_directory(root, state.number, state.history)
+    directory = history_directory(root, state.history_number, state.history)
     directory.mkdir(parents=True, exist_ok=True)
     sync_directory(root)
-    header = FileHeader(FileKind.SNAPSHOT, state.history, state.number, state.revision, len(state.records))
+    header = FileHeader(FileKind.SNAPSHOT, state.history, state.history_number, state.revision, len(state.records))
     return _create_file(directory, header, [state.records[key] for key in sorted(state.records)])
 
 
@@ -116,9 +116,11 @@
     """A new change log that begins after the revision of `state`. Methods raise `OSError`."""
 
     def __init__(self, root: Path, state: ArchivedState) -> None:
-        directory = history_directory(root, state.number, state.history)
-        self.path = _create_file(directory, FileHeader(FileKind.LOG, state.history, state.number, state.revision), [])
-        self.bytes = self.path.stat().st_size
+        directory = history_directory(root, state.history_number, state.history)
+        self.path = _create_file(
+            directory, FileHeader(FileKind.LOG, state.history, state.history_number, state.revision), []
+        )
+        self.size_bytes = self.path.stat().st_size
 
     def append(self, entries: list[Entry], revision: int) -> None:
         """Appends all changes up to a revision and syncs them to disk; after an `OSError`, the log is unchanged."""
@@ -128,14 +130,14 @@
                 file.flush()
                 os.fsync(file.fileno())
         except OSError:
-            os.truncate(self.path, self.bytes)  # if the disk is full, a part of the block may have been written
+            os.truncate(self.path, self.size_bytes)  # if the disk is full, a part of the block may have been written
             raise
-        self.bytes = self.path.stat().st_size
+        self.size_bytes = self.path.stat().st_size
 
 
 def prune(directory: Path, keep: int) -> list[Path]:
     """Removes all files older than the newest `keep` snapshots; returns the paths of the removed files."""
-    complete = files(directory)
+    complete = list_files(directory)
     snapshots = [f.header.revision for f in complete if f.header.kind is FileKind.SNAPSHOT]
     if len(snapshots) <= keep:
         return []
--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -27,7 +27,7 @@
 from spurarch.errors import SpurarchError
 from spurarch.protocol import wire
 from spurarch.storage.errors import RevisionTooOldError, StoreUnavailableError
-from spurarch.storage.history import CURRENT, OPEN, UNARCHIVED, VERIFY_AFTER_S, HistoryRecord, decode_history
+from spurarch.storage.history import CURRENT, MARKER_VALID_S, OPEN, UNARCHIVED_PREFIXES, HistoryRecord, decode_history
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.store import Store
 
@@ -206,7 +206,7 @@
                 raise HistoryEndedError(f"revision {page.revision} read after {highest_read}", data_rolled_back=True)
             for item in page.items:
                 key = item.key[len(record.prefix) :]
-                if not key.startswith(UNARCHIVED):
+                if not key.startswith(UNARCHIVED_PREFIXES):
                     state.apply(Entry(item.version, key, bytes(item.value)))
             if not page.more or not page.items:
                 return first_revision
@@ -234,12 +234,12 @@
         await curio.sleep(BATCH_INTERVAL_S)
 
     async def _verify_marker(self, history: _FollowedHistory) -> None:
-        """Checks the open marker every `VERIFY_AFTER_S` seconds; raises `HistoryEndedError` if it is gone or replaced.
+        """Checks the open marker every `MARKER_VALID_S` seconds; raises `HistoryEndedError` if it is gone or replaced.
 
         Revisions don't show every rollback of the state service: after one to an earlier history, they may be higher.
         """
         now = time.monotonic()
-        if now - self._verified_at < VERIFY_AFTER_S:
+        if now - self._verified_at < MARKER_VALID_S:
             return
         marker = await self._store.get(history.marker_key)
         self._verified_at = now
--- a/spurarch/archive/reader.py
+++ b/spurarch/archive/reader.py
@@ -8,7 +8,7 @@
 
 import fastavro
 
-from spurarch.archive.directory import ArchiveFile, EmptyArchiveError, files
+from spurarch.archive.directory import ArchiveFile, EmptyArchiveError, list_files
 from spurarch.archive.format import Block, DamagedFileError, FileKind, read_blocks
 from spurarch.archive.state import ArchivedState
 
@@ -62,7 +62,7 @@
 
     Raises `EmptyArchiveError` if there is no snapshot, `DamagedFileError` if a file is damaged or missing.
     """
-    complete = files(directory)
+    complete = list_files(directory)
     snapshots = [
         f
         for f in complete
@@ -109,7 +109,7 @@
 
     Raises `EmptyArchiveError` or `DamagedFileError`.
     """
-    for file in files(directory):
+    for file in list_files(directory):
         for _ in read_log_blocks(file.path) if file.header.kind is FileKind.LOG else read_blocks(file.path):
             pass
     return read_state(directory)
--- a/spurarch/archive/server.py
+++ b/spurarch/archive/server.py
@@ -66,14 +66,14 @@
             self._served_records = [
                 StoredRecord(key, e.revision, e.value or b"") for key, e in sorted(state.records.items())
             ]
-            self._served_state = ArchivedState(state.history, state.number, state.revision)
+            self._served_state = ArchivedState(state.history, state.history_number, state.revision)
 
 
 def history_record(state: ArchivedState) -> HistoryRecord:
     """Returns the history record of a state; one with only name and number if the state contains none."""
     current = state.records.get(CURRENT)
     if current is None or current.value is None:
-        return HistoryRecord(state.history, state.number)
+        return HistoryRecord(state.history, state.history_number)
     return decode_history(current.value)
 
 
--- a/spurarch/archive/state.py
+++ b/spurarch/archive/state.py
@@ -12,7 +12,7 @@
     """All records of a history at one revision."""
 
     history: str
-    number: int
+    history_number: int
     revision: int
     records: dict[str, Entry] = field(default_factory=dict)
 
--- a/spurarch/archive/writer.py
+++ b/spurarch/archive/writer.py
@@ -34,5 +34,5 @@
         for entry in entries:
             self._state.apply(entry)
         self._state.revision = revision
-        if self._log.bytes > MAX_LOG_BYTES:
+        if self._log.size_bytes > MAX_LOG_BYTES:
             self.start_log(self._state)
--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -170,7 +170,7 @@
 
     controller: Controller | None = None
     while True:
-        controller = controller_with_recovery(platform, tuning, before=controller)
+        controller = controller_with_recovery(platform, tuning, previous=controller)
         curio.run(controller.run)
 
 
--- a/spurarch/coordination/admission/job_admission.py
+++ b/spurarch/coordination/admission/job_admission.py
@@ -103,7 +103,7 @@
 
     def _changes_to_rewrite(self, source: AllocationKey) -> int:
         """Returns the largest number of changes needed to rewrite an allocation that tasks are moved out of."""
-        return records.pieces_of(self._state.allocations[source.job][source], self._tasks_per_record)
+        return records.count_split_records(self._state.allocations[source.job][source], self._tasks_per_record)
 
     def _source_writes(self) -> list[Write]:
         """Returns the changes to allocations that tasks are moved out of; those without remaining tasks are deleted."""
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -112,6 +112,6 @@
         # Partition owners' clean-up deletes the allocations that don't fit here, and all of them while the rate limit
         # leaves no changes to spare.
         allocations = [str(key) for key in state.allocations.get(job_id, {})]
-        if self._replica.store.rates.can_write_now(Urgency.ENDS):
+        if self._replica.store.rates.can_write_now(Urgency.CLEANUP):
             writes += [Write(key, None) for key in allocations[: self._max_changes - len(writes)]]
         return writes, set(allocations[: self._max_guards])
--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -16,7 +16,7 @@
 
 PASS_INTERVAL_S = 10.0
 ENTRIES_AT_ONCE = 500  # task entries per step: takes well below a millisecond, ten times a second
-CHARGED_STATES = {records.FREE, records.ASSIGNED}
+CHARGED_STATES = {records.UNASSIGNED, records.ASSIGNED}
 
 
 class LedgerAudit:
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -201,7 +201,7 @@
             for allocation, record in self._view.state.allocations.get(job.job_id, {}).items():
                 for entry in record.tasks:
                     if entry.state == records.RETURNED:
-                        yield TaskEntry(entry.index, records.FREE, entry.attempt), allocation
+                        yield TaskEntry(entry.index, records.UNASSIGNED, entry.attempt), allocation
         for index in range(job.admitted, job.tasks):
             yield TaskEntry(index), None
 
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -40,7 +40,7 @@
         """Returns whether the batch stays within the limits with one more admission; an empty batch accepts any."""
         changes = len(self.writes) + len(admission.writes)
         max_bytes = sum(other.max_bytes for other in self.admissions) + admission.max_bytes
-        return not self.admissions or (changes <= max_changes and max_bytes <= records.TXN_BYTES)
+        return not self.admissions or (changes <= max_changes and max_bytes <= records.MAX_TXN_CHANGE_BYTES)
 
     def add(self, admission: JobAdmission) -> None:
         """Adds the admission of one job."""
@@ -156,7 +156,9 @@
             for admission in batch.admissions
             for key in (records.JOB + admission.job, records.ADMISSION + admission.job)
         }
-        result = await self._replica.commit(batch.writes, guards, urgency=urgency, pinned={records.LEADER: term})
+        result = await self._replica.commit(
+            batch.writes, guards, urgency=urgency, pinned_versions={records.LEADER: term}
+        )
         self._release_resolved(reservations, result)
         if result.status is TransactionStatus.COMMITTED:
             await self._notify_peers()
--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -102,7 +102,7 @@
 
 
 class ArchiveGate:
-    """Delays responses until the archive holds the job state that they report, if `archived_answers` is set.
+    """Delays responses until the archive holds the job state that they report, if `responses_await_archive` is set.
 
     With this setting, a state that was reported to a user can be recovered from the archive alone.
     """
@@ -118,11 +118,11 @@
         the response reports; after one successful wait for it, later responses are not delayed.
         """
         history = self._replica.store.history
-        if history is None or not history.record.archived_answers or final_job in self._archived_jobs:
+        if history is None or not history.record.responses_await_archive or final_job in self._archived_jobs:
             return response
         deadline = time.monotonic() + ARCHIVE_TIMEOUT_S
-        revision = history.recorded if revision is None else revision
-        while history.archived < revision:
+        revision = history.recorded_revision if revision is None else revision
+        while history.archived_revision < revision:
             if time.monotonic() > deadline:
                 return api_error(503, "recorded, and not archived yet")
             await curio.sleep(ARCHIVE_POLL_S)
@@ -183,7 +183,11 @@
             return api_error(503, "starting")
         state = self._replica.state
         history = self._replica.store.history
-        if spec.id in state.jobs or spec.id in state.finals or (history is not None and history.record.packed):
+        if (
+            spec.id in state.jobs
+            or spec.id in state.finals
+            or (history is not None and history.record.packed_value_count)
+        ):
             # Final states of earlier histories have no keys of their own that the transaction could guard.
             response = await self._state_response(spec.id)
             if response is not None:
@@ -203,8 +207,8 @@
         result = await self._replica.commit(
             [Write(records.JOB + spec.id, JobRecord(spec, time.time()))],
             guards,
-            absent=[records.FINAL + spec.id],
-            give_up_s=COMMIT_TIMEOUT_S,
+            absent_keys=[records.FINAL + spec.id],
+            timeout_s=COMMIT_TIMEOUT_S,
             urgency=Urgency.USERS,
         )
         if result.status is TransactionStatus.COMMITTED:
@@ -237,7 +241,7 @@
                     return response
                 result = await self._replica.commit(
                     [Write(records.JOB + job_id, JobRecord(record.spec, record.submitted_at, True, time.time()))],
-                    give_up_s=COMMIT_TIMEOUT_S,
+                    timeout_s=COMMIT_TIMEOUT_S,
                     urgency=Urgency.USERS,
                 )
                 if result.status is TransactionStatus.COMMITTED:
@@ -252,7 +256,7 @@
     def _not_found(self) -> Response:
         """Returns the response for a job without a record: 404, or 503 while records of jobs may be missing."""
         history = self._replica.store.history
-        if history is not None and history.record.uncertain:
+        if history is not None and history.record.jobs_may_be_missing:
             return api_error(503, "not known since the records were rebuilt", UNRESOLVED_RETRY_S)
         return api_error(404, "no such job")
 
--- a/spurarch/coordination/api/routes.py
+++ b/spurarch/coordination/api/routes.py
@@ -66,7 +66,7 @@
             return api_error(400, str(err))
         if self._recovery is not None:
             self._recovery.observe(heartbeat)
-            if self._recovery.closed:
+            if self._recovery.records_untrusted:
                 return await self._recovery.on_heartbeat(heartbeat)
         return await self._owner.on_heartbeat(heartbeat, time.monotonic())
 
--- a/spurarch/coordination/extension.py
+++ b/spurarch/coordination/extension.py
@@ -17,7 +17,7 @@
     """Detects that the state service lost its data, and has the records rebuilt."""
 
     @property
-    def closed(self) -> bool:
+    def records_untrusted(self) -> bool:
         """Whether the records can't be trusted, so that `on_heartbeat` answers heartbeats."""
 
     async def open_history(self) -> bool:
--- a/spurarch/coordination/fleet/allocation_totals.py
+++ b/spurarch/coordination/fleet/allocation_totals.py
@@ -37,7 +37,7 @@
                 machine = machines.index(entry.machine)
                 totals.tasks_by_machine[machine] = totals.tasks_by_machine.get(machine, 0) + 1
                 totals.assigned += 1
-            elif entry.state == records.FREE:
+            elif entry.state == records.UNASSIGNED:
                 totals.unassigned += 1
                 totals.repeatedly_attempted += entry.attempt >= REPEATED_ATTEMPTS
             elif entry.state == records.ENDED:
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -96,10 +96,10 @@
 
     def _update_unreadable_teams(self) -> None:
         """Blocks admission for teams with a job whose record can't be decoded, since their charges are unknown."""
-        if not self.state.unreadable and not self.ledger.teams_with_unreadable_jobs:
+        if not self.state.undecodable_keys and not self.ledger.teams_with_unreadable_jobs:
             return
         unreadable_teams: set[int] = set()
-        for key, team in self.state.unreadable.items():
+        for key, team in self.state.undecodable_keys.items():
             job_id = records.job_of(key)
             job = self.jobs.get(job_id) if job_id is not None else None
             if job is not None:
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -93,7 +93,7 @@
         budget = RoundBudget(self.tuning.budget_ms / 1000, cpu_share)
         self.view.update()
         self.view.ledger.release_resolved(self.replica.state.revision, term)
-        write_scarcity = min(1.0, max(0.0, 1.0 - self.replica.store.rates.write_level()))
+        write_scarcity = min(1.0, max(0.0, 1.0 - self.replica.store.rates.unused_write_share()))
         planner = AdmissionPlanner(
             self.view,
             time.time(),
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -201,7 +201,7 @@
 
     def _gangs_on_record(self) -> bool:
         """Whether there are gangs on record and this process's version supports them."""
-        return self._version >= records.GANG_VERSION and self._replica.state.gangs > 0
+        return self._version >= records.GANG_VERSION and self._replica.state.gang_count > 0
 
     async def _assign(self) -> None:
         if self._assigner is None:
@@ -218,4 +218,4 @@
         return result
 
     async def _commit(self, write: Write) -> TransactionResult:
-        return await self._replica.commit([write], give_up_s=COMMIT_TIMEOUT_S, urgency=Urgency.MEMBERSHIP)
+        return await self._replica.commit([write], timeout_s=COMMIT_TIMEOUT_S, urgency=Urgency.MEMBERSHIP)
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -113,7 +113,7 @@
             await self._replica.commit(
                 [Write(records.PARTITION + zone, record)],
                 guards=[records.LEADER],
-                give_up_s=ASSIGNMENT_TIMEOUT_S,
+                timeout_s=ASSIGNMENT_TIMEOUT_S,
                 urgency=Urgency.MEMBERSHIP,
             )
 
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -30,9 +30,9 @@
 
 
 _PREVIOUS_STATES: dict[int, set[TaskState]] = {
-    records.RETURNED: {records.FREE, records.ASSIGNED},
+    records.RETURNED: {records.UNASSIGNED, records.ASSIGNED},
     records.ENDED: {records.ASSIGNED},
-    records.FREE: {records.ASSIGNED},
+    records.UNASSIGNED: {records.ASSIGNED},
 }
 
 
@@ -44,7 +44,7 @@
     """
     if new.state == records.ASSIGNED:
         newer = new.attempt > entry.attempt if gang else new.attempt == entry.attempt + 1
-        return entry.state == records.FREE and newer
+        return entry.state == records.UNASSIGNED and newer
     return entry.state in _PREVIOUS_STATES[new.state] and new.attempt == entry.attempt
 
 
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -156,7 +156,7 @@
             (allocation, entry)  # a plain tuple; a typed pair takes four times as long, in every placement round
             for allocation, entries in self._entries.items()
             for entry in entries
-            if entry.state == records.FREE
+            if entry.state == records.UNASSIGNED
         ]
 
     @property
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -90,7 +90,7 @@
         self._reconcile_attempts(cluster, allocation, record, live)
         if not live:
             state.orphaned_allocations.add(allocation)
-        free = [entry for entry in record.tasks if entry.state == records.FREE]
+        free = [entry for entry in record.tasks if entry.state == records.UNASSIGNED]
         if free and live:
             state.unassigned[allocation] = free
         else:
@@ -146,7 +146,7 @@
         if machine is not None and attempt.phase is AttemptPhase.EXITED:
             machine.to_forget[attempt.key] = attempt.number
             if self._coverage is not None and attempt.exit_reason == wire.REASON_DONE:
-                machine.unarchived[attempt.key] = self._coverage.recorded()
+                machine.unarchived[attempt.key] = self._coverage.recorded_revision()
 
     def _follow_split(self, cluster: ClusterState, attempt: TaskAttempt) -> bool:
         """Moves an attempt whose entry is now in another record of the same job, as after a split of its record.
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -104,11 +104,11 @@
         if not owned.placer.pending_changes:
             bulk, now = groups[Urgency.STARTS], time.monotonic()
             if (
-                self._replica.store.rates.can_write_now(Urgency.ENDS)
+                self._replica.store.rates.can_write_now(Urgency.CLEANUP)
                 or now - owned.last_deletion_at > DELETE_INTERVAL_S
             ):
                 owned.last_deletion_at = now
-                bulk = groups[Urgency.ENDS][: self._max_changes] + bulk
+                bulk = groups[Urgency.CLEANUP][: self._max_changes] + bulk
             owned.placer.pending_changes = {c.allocation: c.entries or {} for c in bulk if c.allocation is not None}
             if owned.placer.pending_changes:
                 await curio.spawn(self._commit_bulk, owned, bulk, daemon=True)
@@ -135,7 +135,7 @@
         pending: Collection[AllocationKey] = owned.placer.pending_changes
         out: dict[Urgency, list[_Change]] = {Urgency.REPLICAS: [_Change(write) for write in other], Urgency.STARTS: []}
         deletable = dict.fromkeys(owned.terminal_records.deletable_allocations(self._replica.state))
-        out[Urgency.ENDS] = [_Change(Write(str(allocation), None), allocation) for allocation in deletable]
+        out[Urgency.CLEANUP] = [_Change(Write(str(allocation), None), allocation) for allocation in deletable]
         for allocation, entries in changes.items():
             if allocation in deletable or allocation in pending:
                 continue
@@ -155,8 +155,12 @@
             is_update = change.allocation is not None and change.write is None
             record = allocations.get(change.allocation) if change.allocation is not None and is_update else None
             change_bytes = records.change_bytes(record)
-            pieces = records.pieces_of(record, self._max_tasks_per_record) if record is not None else 1
-            if not out or batch_changes + pieces > self._max_changes or batch_bytes + change_bytes > records.TXN_BYTES:
+            pieces = records.count_split_records(record, self._max_tasks_per_record) if record is not None else 1
+            if (
+                not out
+                or batch_changes + pieces > self._max_changes
+                or batch_bytes + change_bytes > records.MAX_TXN_CHANGE_BYTES
+            ):
                 out.append([])
                 batch_bytes = batch_changes = 0
             out[-1].append(change)
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -89,7 +89,7 @@
     async def _place(self, owned: OwnedPartition, changes: AllocationChanges, now: float) -> None:
         """Runs a placement round: adds its assignments to `changes`, and stops the tasks that it preempts."""
         partition, budget = owned.partition, self._budget()
-        owned.placer.writes_scarce = self._context.replica.store.rates.write_level() < SCARCE_LEVEL
+        owned.placer.writes_scarce = self._context.replica.store.rates.unused_write_share() < SCARCE_LEVEL
         placed = owned.placer.run_round(
             partition, self._context.view, now, budget.spent, MAX_ALLOCATIONS_PER_ROUND, time.time()
         )
@@ -107,7 +107,7 @@
 
     def _end_delay_s(self) -> float:
         """Seconds for which ended tasks are collected: 0 while writes are plentiful, more the scarcer they are."""
-        level = self._context.replica.store.rates.write_level()
+        level = self._context.replica.store.rates.unused_write_share()
         if level <= Urgency.STARTS.value:
             return END_DELAY_SCARCE_S
         return END_DELAY_S * min(1.0, max(0.0, END_DELAY_LEVEL - level) / END_DELAY_LEVEL)
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -26,7 +26,7 @@
 class ArchiveCoverage(Protocol):
     """Reports up to which revision the archive holds the records."""
 
-    def recorded(self) -> int:
+    def recorded_revision(self) -> int:
         """Returns a revision that includes all records that this controller has now."""
 
     def covers(self, revision: int) -> bool:
--- a/spurarch/coordination/partition/terminal_records.py
+++ b/spurarch/coordination/partition/terminal_records.py
@@ -92,7 +92,9 @@
             return records.ENDED  # members complete together, including those that have not reported it
         if completed or not is_live(cluster, attempt.allocation.job):
             return records.ENDED
-        return records.RETURNED if self._state.unreachable else records.FREE  # no task can start in an unreachable zone
+        return (
+            records.RETURNED if self._state.unreachable else records.UNASSIGNED
+        )  # no task can start in an unreachable zone
 
     @staticmethod
     def _is_replica(cluster: ClusterState, attempt: TaskAttempt) -> bool:
--- a/spurarch/coordination/scaling/machine_releaser.py
+++ b/spurarch/coordination/scaling/machine_releaser.py
@@ -132,7 +132,7 @@
             result = await self._replica.commit(
                 writes[start : start + self._transaction_changes],
                 [records.PARTITION + partition.zone],
-                give_up_s=CORDON_TIMEOUT_S,
+                timeout_s=CORDON_TIMEOUT_S,
             )
             if result.status is not TransactionStatus.COMMITTED:
                 return False
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -91,7 +91,7 @@
             now = time.monotonic()
             try:
                 if now - types_read_at > MACHINE_TYPES_INTERVAL_S or not self._view.machine_types:
-                    self._view.set_machine_types(await self._cloud.types())
+                    self._view.set_machine_types(await self._cloud.machine_types())
                     types_read_at = now
                     await self._replica.notify()
                 if self._may_act_as_leader():
--- a/spurarch/recovery/commands.py
+++ b/spurarch/recovery/commands.py
@@ -79,7 +79,10 @@
     else:
         state = "open" if status.is_open else "sealed"
         print(f"history {status.history.number} ({status.history.name}): {state}, revision {status.revision}")
-        print("jobs without a record: " + ("may have been accepted" if status.history.uncertain else "never accepted"))
+        print(
+            "jobs without a record: "
+            + ("may have been accepted" if status.history.jobs_may_be_missing else "never accepted")
+        )
     if status.archived is not None:
         print(f"archived: history {status.archived.name} up to revision {status.archived.revision}")
     else:
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -156,7 +156,7 @@
 
 async def remaining_source(store: Store, history: HistoryRecord) -> Source:
     """Reads the records of a sealed history that are still in the state service; raises `StoreUnavailableError`."""
-    source = Source(SourceKind.REMAINS, "state service", 0, 0)
+    source = Source(SourceKind.STATE_SERVICE, "state service", 0, 0)
     for prefix in (records.LIVE, records.FINAL, PACKED, SEED):
         after: str | None = None
         while True:
--- a/spurarch/recovery/copy_gathering.py
+++ b/spurarch/recovery/copy_gathering.py
@@ -71,7 +71,7 @@
         if archived is not None:
             gathered.sources.append(archived)
         remains = await copies.remaining_source(context.store, lost_history)
-        if remains.alive or remains.finals:
+        if remains.live_records or remains.finals:
             gathered.sources.append(remains)
         if not gathered.sources:
             raise RebuildRefusedError(
--- a/spurarch/recovery/coverage.py
+++ b/spurarch/recovery/coverage.py
@@ -23,9 +23,9 @@
         self._archived_at_wait_start = 0  # archived revision at `_waiting_since`
         self._unavailable = False
 
-    def recorded(self) -> int:
+    def recorded_revision(self) -> int:
         """Returns the newest revision seen that changed a record of a kind that is archived."""
-        return self._guard.recorded
+        return self._guard.recorded_revision
 
     def covers(self, revision: int) -> bool:
         """Whether the archive holds all changes up to a revision, or need not be waited for.
@@ -34,12 +34,12 @@
         """
         if not self._guard.is_open:
             return False
-        if self._guard.archived >= revision:
+        if self._guard.archived_revision >= revision:
             self._waiting_since = None
             return True
         now = time.monotonic()
-        if self._waiting_since is None or self._guard.archived > self._archived_at_wait_start:
-            self._waiting_since, self._archived_at_wait_start = now, self._guard.archived
+        if self._waiting_since is None or self._guard.archived_revision > self._archived_at_wait_start:
+            self._waiting_since, self._archived_at_wait_start = now, self._guard.archived_revision
         self._set_unavailable(now - self._waiting_since > self._timeout_s)
         return self._unavailable and not self._wait_without_limit
 
--- a/spurarch/recovery/evidence.py
+++ b/spurarch/recovery/evidence.py
@@ -21,7 +21,7 @@
 
     REPLICA = "replica"  # the memory of a controller that was not restarted since the loss
     ARCHIVE = "archive"
-    REMAINS = "remains"  # records that are still in the state service
+    STATE_SERVICE = "remains"  # records that are still in the state service
     ANCESTOR = "ancestor"  # the archive of the parent of the lost history
 
 
@@ -39,18 +39,18 @@
 
     Attributes:
         name: Controller or other component that gave the copy.
-        since: The copy has all final records that were written after this revision.
+        complete_since_revision: The copy has all final records that were written after this revision.
         revision: The copy has all other records that existed at this revision, and possibly some that are newer.
-        alive: Records other than final records, by key.
+        live_records: Records other than final records, by key.
         finals: Final records, by job id.
         unreadable: Number of values that could not be decoded.
     """
 
     kind: SourceKind
     name: str
-    since: int
+    complete_since_revision: int
     revision: int
-    alive: dict[str, Versioned] = field(default_factory=dict)
+    live_records: dict[str, Versioned] = field(default_factory=dict)
     finals: dict[str, FinalRecord] = field(default_factory=dict)
     unreadable: int = 0
 
@@ -72,9 +72,9 @@
         if isinstance(record, FinalRecord):
             self.finals[stored.key[len(records.FINAL) :]] = record
         elif record is not None:
-            known = self.alive.get(stored.key)
+            known = self.live_records.get(stored.key)
             if known is None or stored.version > known.version:
-                self.alive[stored.key] = Versioned(stored.version, record)
+                self.live_records[stored.key] = Versioned(stored.version, record)
 
 
 @dataclass(slots=True)
@@ -85,16 +85,16 @@
         sources: Copies of the lost history's records.
         heartbeats: By machine, the newest heartbeat with the rebuild's fencing token. Commands that were sent to such a
             worker earlier no longer have an effect.
-        complete: Every controller of the lost history gave its copy.
-        uncertain: The lost history may already have lacked jobs.
-        archived_answers: Users were notified only of what the archive already held.
+        has_all_copies: Every controller of the lost history gave its copy.
+        jobs_may_be_missing: The lost history may already have lacked jobs.
+        responses_await_archive: Users were notified only of what the archive already held.
     """
 
     sources: list[Source] = field(default_factory=list)
     heartbeats: dict[str, wire.Heartbeat] = field(default_factory=dict)
-    complete: bool = False
-    uncertain: bool = False
-    archived_answers: bool = False
+    has_all_copies: bool = False
+    jobs_may_be_missing: bool = False
+    responses_await_archive: bool = False
 
     def add_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
         """Adds a worker's heartbeat unless it has a newer or the same one."""
@@ -109,7 +109,7 @@
         (
             found.record.epoch
             for source in sources
-            for found in source.alive.values()
+            for found in source.live_records.values()
             if isinstance(found.record, PartitionRecord)
         ),
         default=0,
@@ -120,7 +120,7 @@
     """Returns the names of the machines that have a record, or a task assigned to them, in any copy."""
     machines: set[str] = set()
     for source in sources:
-        for key, found in source.alive.items():
+        for key, found in source.live_records.items():
             if key.startswith(records.MACHINE):
                 machines.add(records.parse_machine_key(key)[1])
             elif isinstance(found.record, AllocationRecord):
--- a/spurarch/recovery/history_opening.py
+++ b/spurarch/recovery/history_opening.py
@@ -120,7 +120,7 @@
 
     def _declare_lost(self, history: HistoryRecord, reason: str) -> None:
         """Reports the loss of a history that this process never worked in."""
-        if self._guard.lose(reason):
+        if self._guard.mark_lost(reason):
             self._guard.record = history
 
     async def _request_revisions(self) -> _ReportedRevisions:
--- a/spurarch/recovery/history_writer.py
+++ b/spurarch/recovery/history_writer.py
@@ -25,7 +25,7 @@
 from spurarch.storage.records import UNRESOLVED, FinalRecord, LeaderRecord, PartitionRecord
 from spurarch.storage.seeds import SEED, SeedRecord, pack
 
-SEEDED_ABOVE_S = 2.0  # records share values if writing each under its own key takes longer at the published rate
+MAX_UNSHARED_WRITE_S = 2.0  # records share values if writing each under its own key takes longer at the published rate
 PACKED_FINAL_BYTES = 60  # JSON of one packed final state, with a margin for a long job id
 
 
@@ -42,9 +42,9 @@
         Raises `ClaimLostError` or `StoreUnavailableError`.
         """
         packed = pack_finals(rebuilt.finals, self._limits.value_bytes)
-        history = self._new_history(lost_history, len(packed), rebuilt.uncertain)
+        history = self._new_history(lost_history, len(packed), rebuilt.jobs_may_be_missing)
         values_by_key = dict(self._keys_and_values(rebuilt, packed))
-        if len(values_by_key) > SEEDED_ABOVE_S * self._limits.write_rps:
+        if len(values_by_key) > MAX_UNSHARED_WRITE_S * self._limits.write_rps:
             values_by_key = _share_values(values_by_key, self._limits)
             history.seeded = True
         puts = [wire.Put(history.prefix + key, value) for key, value in values_by_key.items()]
@@ -53,15 +53,17 @@
         await self._open(history)
         return history
 
-    def _new_history(self, lost_history: HistoryRecord, packed: int, uncertain: bool) -> HistoryRecord:
+    def _new_history(
+        self, lost_history: HistoryRecord, packed_value_count: int, jobs_may_be_missing: bool
+    ) -> HistoryRecord:
         return HistoryRecord(
             self._progress.name,
             lost_history.number + 1,
             self._progress.epoch,
-            packed,
-            uncertain,
+            packed_value_count,
+            jobs_may_be_missing,
             lost_history.name,
-            lost_history.archived_answers,
+            lost_history.responses_await_archive,
             lost_history.installation,
         )
 
@@ -129,12 +131,12 @@
 
 
 def _batches(puts: list[wire.Put], max_changes: int) -> Iterator[list[wire.Put]]:
-    """Yields the changes in batches of at most `max_changes` and about `TXN_BYTES`, one for each transaction."""
+    """Yields one batch of changes for each transaction: `max_changes` or about `MAX_TXN_CHANGE_BYTES` at most."""
     batch: list[wire.Put] = []
     size = 0
     for put in puts:
         length = len(wire.encode(put))
-        if batch and (len(batch) >= max_changes or size + length > records.TXN_BYTES):
+        if batch and (len(batch) >= max_changes or size + length > records.MAX_TXN_CHANGE_BYTES):
             yield batch
             batch, size = [], 0
         batch.append(put)
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -48,13 +48,13 @@
     tuning: Tuning,
     network: Network | None = None,
     process_incarnation: str | None = None,
-    before: Controller | None = None,
+    previous: Controller | None = None,
 ) -> Controller:
     """Builds a controller that detects lost records and takes part in rebuilding them.
 
     Its `run` returns when it has to start again in another history. Its successor in the same process is then built
-    with `before` set to it, so that the final records are passed on.
+    with `previous` set to it, so that the final records are passed on.
     """
-    finals = before.replica.state.finals if before is not None else {}
+    finals = previous.replica.state.finals if previous is not None else {}
     certain = {job: final for job, final in finals.items() if final.state != UNRESOLVED}
     return Controller(platform, tuning, network, process_incarnation, extension=RecoveryExtension(tuning, certain))
--- a/spurarch/recovery/loss_detection.py
+++ b/spurarch/recovery/loss_detection.py
@@ -52,4 +52,4 @@
             if entry.zone in partitions and entry.epoch > partitions[entry.zone].epoch
         ]
         if len(unexplained) >= MIN_WORKERS:
-            self._guard.lose(f"{len(unexplained)} workers show epochs that are not on record")
+            self._guard.mark_lost(f"{len(unexplained)} workers show epochs that are not on record")
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -75,18 +75,18 @@
     return merger.rebuilt
 
 
-def alive_records(sources: Iterable[Source]) -> dict[str, Versioned]:
+def merge_live_records(sources: Iterable[Source]) -> dict[str, Versioned]:
     """Returns the records that were not deleted at the end of a history, by key, according to copies of it."""
     copies = list(sources)
     newest: dict[str, Versioned] = {}
     for source in copies:
-        for key, found in source.alive.items():
+        for key, found in source.live_records.items():
             if key not in newest or found.version > newest[key].version:
                 newest[key] = found
     return {
         key: found
         for key, found in newest.items()
-        if not any(key not in source.alive and source.revision >= found.version for source in copies)
+        if not any(key not in source.live_records and source.revision >= found.version for source in copies)
     }
 
 
@@ -100,7 +100,7 @@
         # exists.
         copies = [source for source in evidence.sources if source.kind in _COPY_KINDS]
         self._copies = copies or evidence.sources
-        self._alive = alive_records(self._copies)
+        self._alive = merge_live_records(self._copies)
         self._tasks: dict[str, dict[int, _TaskEvidence]] = defaultdict(lambda: defaultdict(_TaskEvidence))
         self._restored_jobs: set[str] = set()  # kept although the newest copy lacks them and their allocations
         self.rebuilt = self._out = RebuiltRecords()
@@ -108,8 +108,8 @@
     def steps(self) -> Iterator[None]:
         """Merges the evidence and yields after each step; `rebuilt` is complete once the iterator is exhausted."""
         out = self._out
-        out.set_aside = sum(source.unreadable for source in self._evidence.sources)
-        out.uncertain = not self._finals_complete()
+        out.ignored_entries = sum(source.unreadable for source in self._evidence.sources)
+        out.jobs_may_be_missing = not self._finals_complete()
         self._merge_finals()
         yield
         self._merge_jobs()
@@ -132,19 +132,19 @@
         That holds if the archive is authoritative, or if all controllers gave copies that have missed no change since
         the archived revision. It never holds if the lost history may itself have lacked jobs.
         """
-        if self._evidence.uncertain:
+        if self._evidence.jobs_may_be_missing:
             return False
         if self._archive_is_authoritative:
             return True
         archived = [s.revision for s in self._evidence.sources if s.kind is SourceKind.ARCHIVE]
-        replicas = [s.since for s in self._evidence.sources if s.kind is SourceKind.REPLICA]
-        return self._evidence.complete and bool(archived and replicas) and min(replicas) <= max(archived)
+        replicas = [s.complete_since_revision for s in self._evidence.sources if s.kind is SourceKind.REPLICA]
+        return self._evidence.has_all_copies and bool(archived and replicas) and min(replicas) <= max(archived)
 
     @property
     def _archive_is_authoritative(self) -> bool:
         """Whether there is a copy of the archive, and users were notified only of what the archive held."""
         archived = any(source.kind is SourceKind.ARCHIVE for source in self._evidence.sources)
-        return self._evidence.archived_answers and archived
+        return self._evidence.responses_await_archive and archived
 
     # Jobs
 
@@ -166,7 +166,7 @@
         cancelled: dict[str, JobRecord] = {}
         job_records: dict[str, JobRecord] = {}
         for source in sorted(self._evidence.sources, key=_oldest_first):
-            for key, found in source.alive.items():
+            for key, found in source.live_records.items():
                 if isinstance(found.record, JobRecord):
                     job = key[len(records.JOB) :]
                     job_records[job] = found.record
@@ -205,7 +205,7 @@
                         self._add_entry(allocation, entry)
 
         for source in self._copies if self._restored_jobs else ():
-            for key, found in sorted(source.alive.items()):
+            for key, found in sorted(source.live_records.items()):
                 if isinstance(found.record, AllocationRecord) and AllocationKey.parse(key).job in self._restored_jobs:
                     for entry in found.record.tasks:
                         self._add_entry(AllocationKey.parse(key), entry)
@@ -223,14 +223,14 @@
         for status in heartbeat.tasks:
             key = wire.split_task(status.task)
             if key is None:
-                self._out.set_aside += 1
+                self._out.ignored_entries += 1
                 continue
             job, index = key
             record = self._out.jobs.get(job)
             if record is None:
                 self._mark_unknown_job(job, heartbeat, status)
             elif index >= record.spec.tasks:
-                self._out.set_aside += 1
+                self._out.ignored_entries += 1
             else:
                 self._add_status(record, heartbeat, status, self._tasks[job][index])
 
@@ -289,7 +289,7 @@
             return TaskEntry(index, records.ENDED, task.attempt)
         if place is not None:
             return TaskEntry(index, records.ASSIGNED, place.attempt, place.machine, place.incarnation)
-        margin = ATTEMPT_MARGIN if self._out.uncertain else 0
+        margin = ATTEMPT_MARGIN if self._out.jobs_may_be_missing else 0
         return TaskEntry(index, records.RETURNED, task.attempt + margin)
 
 
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -84,7 +84,7 @@
 
 
 async def declare_first_history(
-    store: Store, adopt: bool, archived_answers: bool = False, installation: str = ""
+    store: Store, adopt: bool, responses_await_archive: bool = False, installation: str = ""
 ) -> HistoryRecord:
     """Opens the first history of a new installation or, with `adopt`, of one that had no recovery so far.
 
@@ -99,7 +99,9 @@
     ]
     if record_keys and not adopt:
         raise OperatorError("there are records already: --adopt declares them whole")
-    history = HistoryRecord(os.urandom(6).hex(), 1, archived_answers=archived_answers, installation=installation)
+    history = HistoryRecord(
+        os.urandom(6).hex(), 1, responses_await_archive=responses_await_archive, installation=installation
+    )
     txn = wire.Txn(
         [wire.Guard(CURRENT, 0), wire.Guard(CLAIM, 0)],
         [wire.Put(CURRENT, history), wire.Put(OPEN + history.name, OpenMarker(1))],
@@ -142,11 +144,11 @@
     Raises `OperatorError` if the history does not lack jobs, or is not open.
     """
     history = await _read_history(store)
-    if not history.uncertain:
+    if not history.jobs_may_be_missing:
         raise OperatorError("nothing is uncertain")
     current = await store.get(CURRENT)
     version = current.version if current is not None else 0
-    certain = msgspec.structs.replace(history, uncertain=False)
+    certain = msgspec.structs.replace(history, jobs_may_be_missing=False)
     guards = [*await _open_guards(store, history), wire.Guard(CURRENT, version)]
     await _commit(store, wire.Txn(guards, [wire.Put(CURRENT, certain)]))
 
--- a/spurarch/recovery/peer_responder.py
+++ b/spurarch/recovery/peer_responder.py
@@ -37,7 +37,9 @@
         message = recovery_messages.decode(frame)
         if isinstance(message, RevisionRequest):
             record = self._guard.record
-            return recovery_messages.encode(RevisionAnswer(self._node, record.name, record.number, self._guard.highest))
+            return recovery_messages.encode(
+                RevisionAnswer(self._node, record.name, record.number, self._guard.highest_revision)
+            )
         if isinstance(message, EvidenceRequest):
             return recovery_messages.encode(self._evidence_page(message))
         if isinstance(message, HeartbeatsRequest):
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-EPOCHS_UNSEEN = 1 << 16  # upper bound of owner changes whose epochs are in no record or heartbeat seen here
+EPOCH_MARGIN = 1 << 16  # upper bound of owner changes whose epochs are in no record or heartbeat seen here
 MAX_EPOCH = 1 << 27
 
 
@@ -102,7 +102,7 @@
             self._context.collector.highest_epoch,
             highest_epoch([own_copy] if own_copy is not None else []),
         )
-        epoch = highest_seen + EPOCHS_UNSEEN
+        epoch = highest_seen + EPOCH_MARGIN
         if epoch > MAX_EPOCH:
             raise RebuildRefusedError("no partition epoch is left for a new history")
         return epoch
@@ -118,7 +118,7 @@
             len(rebuilt.jobs),
             len(rebuilt.finals),
             len(rebuilt.unresolved),
-            rebuilt.set_aside,
-            "uncertain" if rebuilt.uncertain else "certain",
+            rebuilt.ignored_entries,
+            "uncertain" if rebuilt.jobs_may_be_missing else "certain",
         )
         return rebuilt
--- a/spurarch/recovery/rebuilt_records.py
+++ b/spurarch/recovery/rebuilt_records.py
@@ -31,8 +31,9 @@
     """The records that the next history begins with.
 
     Attributes:
-        set_aside: Number of unreadable records and of invalid task entries in heartbeats, all of which were ignored.
-        uncertain: Jobs may have been accepted or ended without any remaining record.
+        ignored_entries: Number of unreadable records and of invalid task entries in heartbeats, all of which were
+            ignored.
+        jobs_may_be_missing: Jobs may have been accepted or ended without any remaining record.
     """
 
     jobs: dict[str, JobRecord] = field(default_factory=dict)
@@ -40,5 +41,5 @@
     allocations: dict[AllocationKey, AllocationRecord] = field(default_factory=dict)
     finals: dict[str, FinalRecord] = field(default_factory=dict)
     unresolved: list[UnresolvedOutcome] = field(default_factory=list)
-    set_aside: int = 0
-    uncertain: bool = False
+    ignored_entries: int = 0
+    jobs_may_be_missing: bool = False
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -120,7 +120,7 @@
         self.phase = phase
 
     @property
-    def closed(self) -> bool:
+    def records_untrusted(self) -> bool:
         """Whether the records of this controller's history were found to be lost."""
         return self._guard.phase is HistoryPhase.LOST
 
@@ -134,7 +134,7 @@
 
     async def run(self) -> None:
         """Detects data loss and rebuilds; returns when this controller has to start again in another history."""
-        while not self.closed:
+        while not self.records_untrusted:
             await curio.sleep(CHECK_INTERVAL_S)
             await self._loss_detector.check()
         log.warning("state service data lost reason=%s", self._guard.reason)
--- a/spurarch/recovery/worker_survey.py
+++ b/spurarch/recovery/worker_survey.py
@@ -19,16 +19,16 @@
     RebuildRefusedError,
 )
 from spurarch.storage.cloud import CloudError
-from spurarch.storage.history import VERIFY_AFTER_S, HistoryRecord
+from spurarch.storage.history import MARKER_VALID_S, HistoryRecord
 from spurarch.transport.network import Calls
 
 log = logging.getLogger(__name__)
 
-# A reader verifies the history's marker after `VERIFY_AFTER_S` without a read. The lost history stays sealed longer, so
+# A reader verifies the history's marker after `MARKER_VALID_S` without a read. The lost history stays sealed longer, so
 # no unverified gap reaches into the new history, where a higher revision would hide the loss.
-MIN_SEALED_S = VERIFY_AFTER_S + 1.0
+MIN_SEALED_S = MARKER_VALID_S + 1.0
 HEARTBEAT_INTERVALS_WAITED = 3.0  # if every controller gave its copy; more heartbeats then only add details
-CLOCK_DRIFT_FACTOR, TIMEOUT_MARGIN_S = 1.001, 1.0
+MAX_CLOCK_RATE_RATIO, TIMEOUT_MARGIN_S = 1.001, 1.0
 
 
 class WorkerSurvey:
@@ -52,7 +52,11 @@
         """
         self._refuse_later_epoch(copies)
         evidence = Evidence(
-            copies.sources, {}, copies.has_all_copies, lost_history.uncertain, lost_history.archived_answers
+            copies.sources,
+            {},
+            copies.has_all_copies,
+            lost_history.jobs_may_be_missing,
+            lost_history.responses_await_archive,
         )
         replicas = [source for source in copies.sources if source.kind is SourceKind.REPLICA]
         awaited_machines = machines_on_record(replicas if copies.has_all_copies else copies.sources)
@@ -76,7 +80,7 @@
         workers = self._context.deployment.workers
         if has_all_copies:
             return MIN_SEALED_S + HEARTBEAT_INTERVALS_WAITED * workers.heartbeat_interval_s
-        return workers.cancel_s * CLOCK_DRIFT_FACTOR + TIMEOUT_MARGIN_S
+        return workers.cancel_s * MAX_CLOCK_RATE_RATIO + TIMEOUT_MARGIN_S
 
     def _refuse_later_epoch(self, copies: GatheredCopies) -> None:
         collector, epoch = self._context.collector, highest_epoch(copies.sources)
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -73,7 +73,7 @@
             raise CloudError(f"the cloud responded with status {status}")
         return response_body
 
-    async def types(self) -> list[wire.MachineType]:
+    async def machine_types(self) -> list[wire.MachineType]:
         """Returns the machine types and their current prices. Raises `CloudError`."""
         response_body = await self._call("GET", wire.PATH_TYPES, None)
         return _decode(wire.types_decoder, response_body).types
--- a/spurarch/storage/cluster_state.py
+++ b/spurarch/storage/cluster_state.py
@@ -58,11 +58,11 @@
         self.members: dict[str, MemberRecord] = {}
         self.machines: dict[str, dict[str, MachineRecord]] = defaultdict(dict)  # by zone
         self.leader: LeaderRecord | None = None
-        self.gangs = 0  # number of jobs that are gangs
+        self.gang_count = 0  # number of jobs that are gangs
         self.finals: OrderedDict[str, FinalRecord] = OrderedDict()  # by job id, oldest first
         self.revision = 0
-        self.consistent_from = 0.0  # lowest `revision` at which all records here are of one revision
-        self.unreadable: dict[str, str | None] = {}  # by key; for jobs, the team if it can be decoded
+        self.consistent_from_revision = 0.0  # lowest `revision` at which all records here are of one revision
+        self.undecodable_keys: dict[str, str | None] = {}  # by key; for jobs, the team if it can be decoded
         self.seeds: Seeds | None = None  # shared values not yet unpacked; only in a seeded history
         self._deleted_revisions: dict[str, int] = {}  # by key, the revision of a deletion newer than `revision`
         self._subscribers: list[dict[str, None]] = []
@@ -79,7 +79,7 @@
     @property
     def consistent(self) -> bool:
         """Whether all records are of one revision; those read page by page are, once the watch has caught up."""
-        return self.revision >= self.consistent_from
+        return self.revision >= self.consistent_from_revision
 
     def version(self, key: str) -> int:
         """Returns the revision of a key's last change; 0 if the key does not exist."""
@@ -95,13 +95,13 @@
             while len(self.finals) > MAX_FINAL_RECORDS:
                 self.finals.popitem(last=False)
             return
-        self.unreadable.pop(key, None)
+        self.undecodable_keys.pop(key, None)
         self.entries[key] = VersionedRecord(version, record)
         self._index(key, record)
         self._mark_changed(key)
 
     def put_encoded(self, key: str, version: int, value: msgspec.Raw) -> None:
-        """Decodes a value and puts its record; if that fails, logs it once and adds the key to `unreadable`."""
+        """Decodes a value and puts its record; if that fails, logs it once and adds the key to `undecodable_keys`."""
         try:
             record = records.decode(key, value)
         except msgspec.DecodeError as err:
@@ -112,17 +112,17 @@
             self.put(key, version, record)
 
     def _record_unreadable(self, key: str, team: str | None) -> bool:
-        """Adds a key to `unreadable`; returns whether it was not there before."""
-        new = key not in self.unreadable
-        self.unreadable[key] = team
+        """Adds a key to `undecodable_keys`; returns whether it was not there before."""
+        new = key not in self.undecodable_keys
+        self.undecodable_keys[key] = team
         if new:
             self._mark_changed(key)
         return new
 
     def delete(self, key: str, version: int) -> None:
         """Deletes a record unless its key was written after the revision `version`."""
-        if key in self.unreadable:
-            del self.unreadable[key]
+        if key in self.undecodable_keys:
+            del self.undecodable_keys[key]
             self._mark_changed(key)
         entry = self.entries.get(key)
         if entry is not None and entry.version > version:
@@ -162,7 +162,7 @@
 
     def _index(self, key: str, record: Record) -> None:
         if isinstance(record, JobRecord):
-            self.gangs += record.spec.kind == wire.GANG and record.spec.id not in self.jobs
+            self.gang_count += record.spec.kind == wire.GANG and record.spec.id not in self.jobs
             self.jobs[record.spec.id] = record
         elif isinstance(record, AdmissionRecord):
             self.admissions[key[len(records.ADMISSION) :]] = record
@@ -182,7 +182,7 @@
 
     def _unindex(self, key: str, record: Record) -> None:
         if isinstance(record, JobRecord):
-            self.gangs -= record.spec.kind == wire.GANG and record.spec.id in self.jobs
+            self.gang_count -= record.spec.kind == wire.GANG and record.spec.id in self.jobs
             self.jobs.pop(record.spec.id, None)
         elif isinstance(record, AdmissionRecord):
             self.admissions.pop(key[len(records.ADMISSION) :], None)
--- a/spurarch/storage/commit.py
+++ b/spurarch/storage/commit.py
@@ -43,10 +43,10 @@
         self,
         writes: list[Write],
         guards: Iterable[str],
-        absent: Iterable[str],
+        absent_keys: Iterable[str],
         timeout_s: float | None,
         urgency: Urgency,
-        pinned: dict[str, int] | None,
+        pinned_versions: dict[str, int] | None,
     ) -> TransactionResult:
         """Commits writes; see `Replica.commit`."""
         guards = list(guards)
@@ -55,8 +55,8 @@
             return failure
         versions = {key: self._state.version(key) for key in guards}
         versions.update((write.key, self._state.version(write.key)) for write in writes)
-        versions.update((key, 0) for key in absent)
-        versions.update(pinned or {})
+        versions.update((key, 0) for key in absent_keys)
+        versions.update(pinned_versions or {})
         result = await self._run(_transaction(versions, writes), timeout_s, urgency)
         if result.status is TransactionStatus.COMMITTED:
             self._state.apply_commit(writes, result.revision)
@@ -120,7 +120,7 @@
         """
         for key in failed:
             if key.startswith(records.LIVE) and sent.get(key, -1) == self._state.version(key):
-                history.lose(f"record {key} is not at {sent[key]}, and no change says why")
+                history.mark_lost(f"record {key} is not at {sent[key]}, and no change says why")
 
 
 def _transaction(versions: dict[str, int], writes: list[Write]) -> wire.Txn:
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from spurarch.protocol import wire
 from spurarch.storage.errors import HistoryClosedError
@@ -30,8 +30,8 @@
 OPEN, REBUILD = "history/open/", "history/rebuild/"
 PACKED = "packed/"
 UNRESOLVED_PREFIX = "doubt/"  # unresolved job outcomes, under the history's prefix; read only by operators' commands
-UNARCHIVED = (MEMBER, LEADER)  # prefixes of records that are not archived: a later history has no use for them
-VERIFY_AFTER_S = 2.0  # after this time without a verified response, the marker is read again before the next read
+UNARCHIVED_PREFIXES = (MEMBER, LEADER)  # prefixes of records that are not archived: a later history has no use for them
+MARKER_VALID_S = 2.0  # after this time without a verified response, the marker is read again before the next read
 
 
 class HistoryRecord(Struct):
@@ -41,11 +41,11 @@
         name: Random name.
         number: 1 for the first history of an installation, one more for each that follows.
         epoch: Higher than any partition epoch that an earlier history can have assigned.
-        packed: Number of keys that hold the packed final states of jobs of earlier histories.
-        uncertain: Jobs that users were told are accepted may be missing from the records.
+        packed_value_count: Number of keys that hold the packed final states of jobs of earlier histories.
+        jobs_may_be_missing: Jobs that users were told are accepted may be missing from the records.
         parent: Name of the history from which this one was rebuilt.
-        archived_answers: A job is reported to users as accepted, cancelled or terminal only after the archive holds
-            this state.
+        responses_await_archive: A job is reported to users as accepted, cancelled or terminal only after the archive
+            holds this state.
         installation: Name that the operators gave to the owner of these records.
         seeded: The history was opened with records that share values, see `spurarch.storage.seeds`.
     """
@@ -53,10 +53,10 @@
     name: str
     number: int
     epoch: int = 0
-    packed: int = 0
-    uncertain: bool = False
+    packed_value_count: int = field(name="packed", default=0)
+    jobs_may_be_missing: bool = field(name="uncertain", default=False)
     parent: str = ""
-    archived_answers: bool = False
+    responses_await_archive: bool = field(name="archived_answers", default=False)
     installation: str = ""
     seeded: bool = False
 
@@ -149,9 +149,9 @@
         self.phase = HistoryPhase.UNKNOWN
         self.reason = "the history is not known yet"
         self.record = HistoryRecord("", 1)
-        self.highest = 0  # highest revision seen in a response
-        self.recorded = 0  # highest revision seen of a change that the archive has to hold
-        self.archived = 0  # revision up to which the archive has reported to hold all changes
+        self.highest_revision = 0  # highest revision seen in a response
+        self.recorded_revision = 0  # highest revision seen of a change that the archive has to hold
+        self.archived_revision = 0  # revision up to which the archive has reported to hold all changes
         self.verified_at = float("-inf")  # when the history was last verified to be open, by the monotonic clock
         self._marker_version = 0  # revision at which the marker was written
 
@@ -167,11 +167,11 @@
         if not self.advance(HistoryPhase.OPEN, "open"):
             return False
         self.record, self._marker_version = record, marker_version
-        self.highest = max(self.highest, revision)
+        self.highest_revision = max(self.highest_revision, revision)
         self.verified_at = now
         return True
 
-    def lose(self, reason: str) -> bool:
+    def mark_lost(self, reason: str) -> bool:
         """Marks the history as lost; returns False if it was marked before."""
         return self.advance(HistoryPhase.LOST, reason)
 
@@ -189,7 +189,7 @@
         """Returns the highest revision seen, for `check_revision`. Raises `HistoryClosedError` unless open."""
         if self.phase is not HistoryPhase.OPEN:
             raise HistoryClosedError(self.reason)
-        return self.highest
+        return self.highest_revision
 
     def check_revision(self, before: int, revision: int, now: float) -> None:
         """Checks the revision of a response; `before` is the result of `check_open` before the request was sent.
@@ -197,9 +197,9 @@
         Marks the history as lost if the revision is lower. Raises `HistoryClosedError` unless the history is open.
         """
         if revision < before:
-            self.lose(f"revision {revision} after {before}")
+            self.mark_lost(f"revision {revision} after {before}")
         self.check_open()
-        self.highest = max(self.highest, revision)
+        self.highest_revision = max(self.highest_revision, revision)
         self.verified_at = now
 
     def check_marker(self, version: int, now: float) -> None:
@@ -208,21 +208,21 @@
         Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless it is open.
         """
         if version != self._marker_version:
-            self.lose(f"marker of history {self.record.name} at {version}, not {self._marker_version}")
+            self.mark_lost(f"marker of history {self.record.name} at {version}, not {self._marker_version}")
         self.check_open()
         self.verified_at = now
 
     def record_change(self, keys: Iterable[str], revision: int) -> None:
-        """Updates `recorded` with the revision of a change, if any of the changed keys is archived."""
-        if revision > self.recorded and any(not key.startswith(UNARCHIVED) for key in keys):
-            self.recorded = revision
+        """Updates `recorded_revision` with the revision of a change, if any of the changed keys is archived."""
+        if revision > self.recorded_revision and any(not key.startswith(UNARCHIVED_PREFIXES) for key in keys):
+            self.recorded_revision = revision
 
     def needs_verification(self, now: float) -> bool:
         """Returns whether the marker has to be read again before a response can be trusted.
 
-        In `VERIFY_AFTER_S` without a checked response, a new history may have begun and reached a higher revision.
+        In `MARKER_VALID_S` without a checked response, a new history may have begun and reached a higher revision.
         """
-        return now - self.verified_at > VERIFY_AFTER_S
+        return now - self.verified_at > MARKER_VALID_S
 
     def guarded_transaction(self, txn: wire.Txn) -> wire.Txn:
         """Translates a transaction to the state service's keys and adds a guard on the marker."""
@@ -241,7 +241,7 @@
         If the history is lost, returns UNKNOWN instead of a commit, since the committed changes may be lost.
         """
         if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
-            self.lose(f"history {self.record.name} was sealed")
+            self.mark_lost(f"history {self.record.name} was sealed")
         if result.status not in (TransactionStatus.COMMITTED, TransactionStatus.CONFLICT):
             return result
         try:
@@ -293,12 +293,12 @@
         revisions are not continued across histories. Only the changes that follow then show the reset. Member and
         leader records are ignored: a controller that starts without recovery writes them without a prefix.
         """
-        if is_record_key(key) and not key.startswith(UNARCHIVED):
-            self.lose(f"{key} was written outside history {self.record.name}")
+        if is_record_key(key) and not key.startswith(UNARCHIVED_PREFIXES):
+            self.mark_lost(f"{key} was written outside history {self.record.name}")
 
     def _process_history_event(self, event: wire.Event) -> None:
         if event.delete == self.marker:
-            self.lose(f"history {self.record.name} was sealed")
+            self.mark_lost(f"history {self.record.name} was sealed")
         elif event.put in (ARCHIVED, CURRENT):
             try:
                 self._update(event)
@@ -309,8 +309,8 @@
         if event.put == ARCHIVED:
             archived = decode_archived(event.value)
             if archived.name == self.record.name:
-                self.archived = max(self.archived, archived.revision)
+                self.archived_revision = max(self.archived_revision, archived.revision)
             return
         current = decode_history(event.value)
         if current.name == self.record.name:
-            self.record = current  # an operator has cleared `uncertain`
+            self.record = current  # an operator has cleared `jobs_may_be_missing`
--- a/spurarch/storage/rate_limits.py
+++ b/spurarch/storage/rate_limits.py
@@ -37,7 +37,7 @@
     USERS = -0.5  # requests of users
     REPLICAS = -0.25  # starts of service replicas and gangs
     STARTS = 0.0  # starts of all other tasks
-    ENDS = 0.1  # clean-up of records after tasks and jobs have ended
+    CLEANUP = 0.1  # clean-up of records after tasks and jobs have ended
 
 
 class TokenBucket:
@@ -158,7 +158,7 @@
         """Changes per second that this controller may write."""
         return self._writes.rate
 
-    def write_level(self) -> float:
+    def unused_write_share(self) -> float:
         """Returns the part of one second's changes that is unused; close to 0 or negative while changes are waiting."""
         return self._writes.level(time.monotonic())
 
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -26,14 +26,14 @@
 class TaskState(enum.IntEnum):
     """State of an admitted task; the numbers are stored."""
 
-    FREE = 0  # not assigned to a machine yet
+    UNASSIGNED = 0  # not assigned to a machine yet
     ASSIGNED = 1  # assigned to a machine
     ENDED = 2
     RETURNED = 3  # returned to the leader by the partition owner, to be allocated to another partition
 
 
 # Module-level aliases: looking up an enum member takes several times as long, and decisions compare millions of them.
-FREE, ASSIGNED, ENDED, RETURNED = TaskState
+UNASSIGNED, ASSIGNED, ENDED, RETURNED = TaskState
 
 UNRESOLVED = "in doubt"  # state of a final record whose job ended in an unknown way, for an operator to resolve
 
@@ -69,7 +69,7 @@
     """One admitted task: `attempt` counts its starts, `incarnation` identifies the process of the machine's worker."""
 
     index: int
-    state: int = FREE  # of `TaskState`; an int, so that states of later versions can be decoded
+    state: int = UNASSIGNED  # of `TaskState`; an int, so that states of later versions can be decoded
     attempt: int = 0
     machine: str = ""
     incarnation: int = 0
@@ -197,7 +197,7 @@
         return None
 
 
-TXN_BYTES = 56_000  # of the changes in a request; the rest of the state service's 64 KiB limit is for guards
+MAX_TXN_CHANGE_BYTES = 56_000  # of the changes in a request; the rest of the state service's 64 KiB limit is for guards
 _BYTES_PER_CHANGE, _BYTES_PER_ENTRY = 400, 60
 
 
@@ -238,7 +238,7 @@
 MAX_SPLIT_CHUNKS = 1000  # numbers reserved for the chunks split from one record
 
 
-def pieces_of(record: AllocationRecord, max_tasks: int) -> int:
+def count_split_records(record: AllocationRecord, max_tasks: int) -> int:
     """Returns the number of records, and so of changes, that hold the tasks with at most `max_tasks` in each."""
     return max(1, ceil(len(record.tasks) / max_tasks))
 
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -41,7 +41,7 @@
     def __init__(self, store: Store) -> None:
         self.store = store
         self.state = ClusterState()
-        self.state.consistent_from = float("inf")
+        self.state.consistent_from_revision = float("inf")
         self.loaded = False
         self.loaded_revision = 0  # revision after which the copy has not missed a change
         self.synced_at = float("-inf")  # the copy holds all changes before this time, by the monotonic clock
@@ -77,7 +77,7 @@
     async def load(self) -> None:
         """Reads all records in use; the watch then starts at the revision of the first page."""
         started = time.monotonic()
-        self.state.consistent_from = float("inf")
+        self.state.consistent_from_revision = float("inf")
         seen: set[str] = set()
         pages = await self._read_pages(seen, await self._load_seeds(seen))
         first = pages.first_revision
@@ -85,7 +85,7 @@
             if self.state.version(key) <= first:
                 self.state.delete(key, first)
         self.state.revision = self.loaded_revision = first
-        self.state.consistent_from = max(first, pages.last_revision)
+        self.state.consistent_from_revision = max(first, pages.last_revision)
         self.loaded = True
         log.info(
             "records read count=%d pages=%d seconds=%.2f first_revision=%d revision=%d",
@@ -218,23 +218,23 @@
         item = await self.store.get(records.FINAL + job)
         if item is None:
             history = self.store.history
-            return await self._read_packed(job, history.record.packed) if history is not None else None
+            return await self._read_packed(job, history.record.packed_value_count) if history is not None else None
         record = records.decode(item.key, item.value)
         if not isinstance(record, FinalRecord):
             return None
         self.state.put(item.key, item.version, record)
         return record
 
-    async def _read_packed(self, job: str, packed: int) -> FinalRecord | None:
+    async def _read_packed(self, job: str, packed_value_count: int) -> FinalRecord | None:
         """Returns the final record of a job that ended in an earlier history, None if there is none.
 
-        `packed` is the number of keys that hold such records.
+        `packed_value_count` is the number of keys that hold such records.
         """
-        if not packed:
+        if not packed_value_count:
             return None
         from spurarch.storage.history import decode_packed, packed_key
 
-        item = await self.store.get(packed_key(job, packed))
+        item = await self.store.get(packed_key(job, packed_value_count))
         state_and_tasks = decode_packed(item.value).jobs.get(job) if item is not None else None
         if state_and_tasks is None:
             return None
@@ -246,21 +246,21 @@
         self,
         writes: list[Write],
         guards: Iterable[str] = (),
-        absent: Iterable[str] = (),
-        give_up_s: float | None = None,
+        absent_keys: Iterable[str] = (),
+        timeout_s: float | None = None,
         urgency: Urgency = Urgency.STARTS,
-        pinned: dict[str, int] | None = None,
+        pinned_versions: dict[str, int] | None = None,
     ) -> TransactionResult:
         """Commits writes if every written or guarded key still has the version that it has in the local copy.
 
-        Keys in `absent` must not exist. `pinned` are further guards, by key: the versions on which the caller based its
-        decision.
+        Keys in `absent_keys` must not exist. `pinned_versions` are further guards, by key: the versions on which the
+        caller based its decision.
 
         After a lost response, the same transaction is sent again; whichever request is executed first makes the guards
-        of the other fail. So the result is UNKNOWN only after `give_up_s` seconds (None: no limit), or if a written or
+        of the other fail. So the result is UNKNOWN only after `timeout_s` seconds (None: no limit), or if a written or
         guarded record has to be unpacked first (see `spurarch.storage.seeds`) and the outcome of that is unknown.
         """
-        return await self._committer.commit(writes, guards, absent, give_up_s, urgency, pinned)
+        return await self._committer.commit(writes, guards, absent_keys, timeout_s, urgency, pinned_versions)
 
 
 class _PagesRead(Struct, frozen=True):
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -181,7 +181,7 @@
     write_snapshot(directory, archived)
     log, times = ChangeLog(directory, archived), []
     value = wire.encode(AllocationRecord([TaskEntry(i, ASSIGNED, 1, f"vm-{i:06d}", 1) for i in range(25)]))
-    before = log.bytes
+    before = log.size_bytes
     for number in range(200):
         began = time.perf_counter()
         log.append([Entry(number + 2, f"live/allot/a/job-{i}/0", value) for i in range(8)], number + 2)
@@ -190,7 +190,7 @@
     return {
         "batches": 200,
         "changes": 1600,
-        "bytes a change": (log.bytes - before) / 1600,
+        "bytes a change": (log.size_bytes - before) / 1600,
         "median ms": 1000 * times[100],
         "p99 ms": 1000 * times[198],
         "value bytes": float(len(value)),
--- a/tests/test_admission_order.py
+++ b/tests/test_admission_order.py
@@ -58,12 +58,12 @@
         self.pinned: list[dict[str, int]] = []
 
     async def commit(
-        self, writes: list[Write], guards: object, urgency: object, pinned: dict[str, int]
+        self, writes: list[Write], guards: object, urgency: object, pinned_versions: dict[str, int]
     ) -> TransactionResult:
         """Commits a transaction and records it."""
         await curio.sleep(0)
         self.committed.append([write.key for write in writes])
-        self.pinned.append(pinned)
+        self.pinned.append(pinned_versions)
         for write in writes:
             self._fleet.put(write.key, write.record)
         self._meanwhile(writes)
@@ -131,7 +131,7 @@
     assert fleet.view.ledger.recorded(0) == Charge.of(2.0, 0.0)
     replica: Any = SlowReplica(fleet, lambda _: None)
     writer = writer_of(fleet, replica)
-    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
+    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.UNASSIGNED, 1)], {SOURCE: {0}})
     assert writer._job_admission("job-1", [grant]).tasks == 1
     curio.run(writer.admit, [grant], {"job-1": writer.record_versions("job-1")}, Urgency.STARTS)
     assert len(replica.committed) == 1
@@ -157,7 +157,7 @@
     fleet.put(str(SOURCE), AllocationRecord([*returned, TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1)]))
     fleet.view.update()
     writer = writer_of(fleet)
-    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.FREE, 1)], {SOURCE: {0}})
+    grant = AdmissionGrant("job-1", fleet.view.zones.index("b"), [TaskEntry(0, records.UNASSIGNED, 1)], {SOURCE: {0}})
     planned = writer.record_versions("job-1")
     assert writer._is_still_valid("job-1", [grant], planned)
     for write in writer._job_admission("job-1", [grant]).writes:
@@ -173,9 +173,9 @@
     job.spec.kind = wire.GANG
     fleet.put(f"{records.JOB}job-1", job)
     finalizer = finalizer_of(fleet)
-    ended, free = TaskEntry(0, records.ENDED, 1), TaskEntry(1, records.FREE, 1)
+    ended, free = TaskEntry(0, records.ENDED, 1), TaskEntry(1, records.UNASSIGNED, 1)
     finals = []
-    for last in (TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1), TaskEntry(2, records.FREE, 1)):
+    for last in (TaskEntry(2, records.ASSIGNED, 1, "vm-1", 1), TaskEntry(2, records.UNASSIGNED, 1)):
         fleet.put(str(SOURCE), AllocationRecord([ended, free, last]))
         finals.append(finalizer.final_record("job-1"))
     assert finals == [None, FinalRecord(wire.DONE, 3)]
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -58,7 +58,7 @@
     log = ChangeLog(root, start)
     for number, revision in enumerate((20, 30, 40, 50)):
         log.append([entry(10 + number, revision), entry(number, revision, None)], revision)
-    return archive.histories(root)[0]
+    return archive.list_history_directories(root)[0]
 
 
 def test_snapshot_and_log_give_the_newest_and_earlier_states(tmp_path: Path) -> None:
@@ -74,7 +74,7 @@
 def test_a_truncated_log_is_read_up_to_its_last_complete_batch(tmp_path: Path) -> None:
     """The archiver or its machine crashes while a batch is being written."""
     history_dir = write_small_archive(tmp_path)
-    log = next(f.path for f in archive.files(history_dir) if f.header.kind is FileKind.LOG)
+    log = next(f.path for f in archive.list_files(history_dir) if f.header.kind is FileKind.LOG)
     whole = log.read_bytes()
     ends = [block.end_offset for block in files.read_blocks(log)]
     header_end = ends[0] - (ends[1] - ends[0])
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("which", ["snapshot", "log"])
 def test_an_altered_block_is_named_in_the_error(tmp_path: Path, which: str) -> None:
     history_dir = write_small_archive(tmp_path)
-    file = next(f.path for f in archive.files(history_dir) if f.header.kind.value == which)
+    file = next(f.path for f in archive.list_files(history_dir) if f.header.kind.value == which)
     whole = bytearray(file.read_bytes())
     first_end = next(files.read_blocks(file)).end_offset
     found = set()
@@ -104,8 +104,8 @@
 
 def test_a_snapshot_with_a_missing_block_is_refused(tmp_path: Path) -> None:
     archive.write_snapshot(tmp_path, state_at(10, 5000))
-    history_dir = archive.histories(tmp_path)[0]
-    file = archive.files(history_dir)[0].path
+    history_dir = archive.list_history_directories(tmp_path)[0]
+    file = archive.list_files(history_dir)[0].path
     blocks = [block.end_offset for block in files.read_blocks(file)]
     assert len(blocks) > 2
     file.write_bytes(file.read_bytes()[: blocks[-2]])
@@ -118,7 +118,7 @@
         patch.setattr(files, "SCHEMA_VERSION", 9)
         archive.write_snapshot(tmp_path, state_at(10, 2))
     with pytest.raises(DamagedFileError, match="schema 9"):
-        archive.files(archive.histories(tmp_path)[0])
+        archive.list_files(archive.list_history_directories(tmp_path)[0])
 
 
 def test_a_log_of_another_history_is_refused(tmp_path: Path) -> None:
@@ -148,7 +148,7 @@
         patch.setattr("os.fsync", fail)
         with pytest.raises(OSError, match="No space"):
             archive.write_snapshot(tmp_path, state_at(60, 2))
-    assert sorted(f.path.name for f in archive.files(history_dir)) == [
+    assert sorted(f.path.name for f in archive.list_files(history_dir)) == [
         name for name in before if name.endswith(".avro")
     ]
     assert read_state(history_dir).revision == 50
@@ -169,9 +169,9 @@
         patch.setattr("os.fsync", fail)
         with pytest.raises(OSError, match="No space"):
             log.append([entry(8, 30)], 30)
-    assert read_state(archive.histories(tmp_path)[0]).revision == 20
+    assert read_state(archive.list_history_directories(tmp_path)[0]).revision == 20
     log.append([entry(9, 40)], 40)
-    assert "live/job/job-9" in read_state(archive.histories(tmp_path)[0]).records
+    assert "live/job/job-9" in read_state(archive.list_history_directories(tmp_path)[0]).records
 
 
 def test_a_second_archiver_cannot_lock_the_directory(tmp_path: Path) -> None:
@@ -203,7 +203,7 @@
     assert [json.loads(line)["key"] for line in shown[1:]] == ["live/job/job-2"]
     assert main(["archive", "list", "--directory", str(root)]) == 0
     assert "snapshot from revision 10" in capsys.readouterr().out
-    snapshot = next(f.path for f in archive.files(history_dir) if f.header.kind is FileKind.SNAPSHOT)
+    snapshot = next(f.path for f in archive.list_files(history_dir) if f.header.kind is FileKind.SNAPSHOT)
     snapshot.write_bytes(snapshot.read_bytes()[:-30])
     for command in ("verify", "show"):
         assert main(["archive", command, "--directory", str(root)]) == 2
@@ -288,7 +288,7 @@
         follower, _ = await setup.start_archiver()
         while follower.phase is not FollowerPhase.FOLLOWING:
             await curio.sleep(0.0005)
-        snapshot = read_state(archive.histories(tmp_path)[0])
+        snapshot = read_state(archive.list_history_directories(tmp_path)[0])
         states_by_revision = dict(observed_states)
         assert snapshot.revision in states_by_revision, "the snapshot fell into the time of the changes"
         expected = states_by_revision[snapshot.revision]
@@ -434,7 +434,9 @@
         setup.put("h2.bb/live/job/job-1", "second")
         await curio.sleep(3)
         assert follower.phase is FollowerPhase.FOLLOWING
-        assert [read_state(history_dir).number for history_dir in archive.histories(tmp_path)] == [1, 2]
+        assert [
+            read_state(history_dir).history_number for history_dir in archive.list_history_directories(tmp_path)
+        ] == [1, 2]
         assert setup.archived_records() == {"live/job/job-1": "second"}
 
     setup.run(main)
--- a/tests/test_external_contract_archive.py
+++ b/tests/test_external_contract_archive.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from spurarch.archive.directory import ChangeLog, files, histories, write_snapshot
+from spurarch.archive.directory import ChangeLog, list_files, list_history_directories, write_snapshot
 from spurarch.archive.format import Block, DamagedFileError, Entry, FileHeader, FileKind, read_blocks, read_header
 from spurarch.archive.reader import read_state
 from spurarch.archive.state import ArchivedState
@@ -89,11 +89,11 @@
 
 
 def test_a_frozen_archive_gives_the_point_that_it_was_written_for(archive: Path) -> None:
-    [directory] = histories(archive)
+    [directory] = list_history_directories(archive)
 
     newest, earlier = read_state(directory), read_state(directory, 13)
 
-    assert (newest.history, newest.number, newest.revision) == ("9f2c", 2, 21)
+    assert (newest.history, newest.history_number, newest.revision) == ("9f2c", 2, 21)
     assert newest.records == {
         "final/job-1": SECOND_BATCH[0],
         "final/job-2": SNAPSHOT_ENTRIES[0],
@@ -119,7 +119,7 @@
     assert str(log.path.relative_to(tmp_path)) == "000002-9f2c/log-0000000000000010.avro"
     assert empty == EMPTY_LOG
     assert with_marker(log.path) == LOG
-    assert [file.path.name for file in files(tmp_path / "000002-9f2c")] == [SNAPSHOT_NAME, LOG_NAME]
+    assert [file.path.name for file in list_files(tmp_path / "000002-9f2c")] == [SNAPSHOT_NAME, LOG_NAME]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_external_contract_clients.py
+++ b/tests/test_external_contract_clients.py
@@ -209,7 +209,7 @@
 
 def test_the_price_list_is_asked_for() -> None:
     types, sent = with_cloud(
-        lambda cloud: cloud.types(),
+        lambda cloud: cloud.machine_types(),
         (
             200,
             b'{"builds":[{"sku":"g8","vcpus":96,"gpus":8,"memory_gb":768,"hourly":12.0,"spot_price":4.5,'
--- a/tests/test_external_contract_records.py
+++ b/tests/test_external_contract_records.py
@@ -148,7 +148,7 @@
 
 
 def test_the_numbers_of_stored_task_states_and_versions_stand() -> None:
-    assert (int(records.FREE), int(records.ASSIGNED), int(records.ENDED), int(records.RETURNED)) == (0, 1, 2, 3)
+    assert (int(records.UNASSIGNED), int(records.ASSIGNED), int(records.ENDED), int(records.RETURNED)) == (0, 1, 2, 3)
     assert (records.GANG_VERSION, records.PROGRAM_VERSION) == (1, 1)
     assert records.UNRESOLVED == "in doubt"
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -75,7 +75,7 @@
 
 
 def free(index: int, attempt: int = 0) -> TaskEntry:
-    return TaskEntry(index, records.FREE, attempt)
+    return TaskEntry(index, records.UNASSIGNED, attempt)
 
 
 def test_members_start_only_once_all_assignments_are_recorded() -> None:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -48,7 +48,7 @@
     guard.check_revision(before, 60, 11.0)  # response to a later request, received first
     guard.check_revision(before, 55, 11.1)
     assert guard.is_open
-    assert guard.highest == 60
+    assert guard.highest_revision == 60
 
 
 def test_an_open_marker_at_another_revision_closes_the_history() -> None:
@@ -66,8 +66,8 @@
 
 def test_a_lost_history_cannot_be_reopened() -> None:
     guard = open_guard()
-    assert guard.lose("once")
-    assert not guard.lose("twice")
+    assert guard.mark_lost("once")
+    assert not guard.mark_lost("twice")
     assert not guard.open(HistoryRecord("bb", 2), 9, 90, 12.0)
     assert guard.reason == "once"
 
@@ -92,7 +92,7 @@
     """The response to a committed transaction may arrive after the data loss was detected."""
     guard = open_guard()
     before = guard.check_open()
-    guard.lose("seen elsewhere")
+    guard.mark_lost("seen elsewhere")
     assert (
         guard.check_result(before, TransactionResult(TransactionStatus.COMMITTED, 51), 11.0).status
         is TransactionStatus.UNKNOWN
@@ -157,16 +157,16 @@
     guard = open_guard()
     for name, revision, expected in (("aa", 40, 40), ("bb", 90, 40), ("aa", 30, 40), ("aa", 55, 55)):
         guard.process_event(wire.Event(60, ARCHIVED, None, encode_raw(ArchivedRecord(name, revision, "x"))))
-        assert guard.archived == expected
+        assert guard.archived_revision == expected
     guard.process_event(wire.Event(61, ARCHIVED, None, encode_raw({"nonsense": 1})))
     assert guard.is_open
 
 
 def test_a_changed_history_record_in_a_watch_is_applied() -> None:
     guard = open_guard()
-    guard.record.uncertain = True
-    guard.process_event(wire.Event(60, CURRENT, None, encode_raw(HistoryRecord("aa", 1, uncertain=False))))
-    assert not guard.record.uncertain
+    guard.record.jobs_may_be_missing = True
+    guard.process_event(wire.Event(60, CURRENT, None, encode_raw(HistoryRecord("aa", 1, jobs_may_be_missing=False))))
+    assert not guard.record.jobs_may_be_missing
 
 
 def test_packed_final_states_are_spread_over_all_records() -> None:
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -21,8 +21,8 @@
 from spurarch.storage.records import (
     ASSIGNED,
     ENDED,
-    FREE,
     RETURNED,
+    UNASSIGNED,
     UNRESOLVED,
     AllocationRecord,
     FinalRecord,
@@ -73,7 +73,7 @@
     "live/allot/a/job-1/0": (
         8,
         AllocationRecord(
-            [TaskEntry(0, ASSIGNED, 1, "vm-1", 1), TaskEntry(1, ENDED, 1, "vm-1", 1), TaskEntry(2, FREE, 2)]
+            [TaskEntry(0, ASSIGNED, 1, "vm-1", 1), TaskEntry(1, ENDED, 1, "vm-1", 1), TaskEntry(2, UNASSIGNED, 2)]
         ),
     ),
 }
@@ -130,7 +130,7 @@
     rebuilt = merge(evidence(older, newer), CHUNK)
     assert rebuilt.finals == {"job-1": FinalRecord(wire.DONE, 3)}
     assert rebuilt.jobs == {}
-    assert not rebuilt.uncertain
+    assert not rebuilt.jobs_may_be_missing
 
 
 def test_a_job_deleted_without_a_final_record_has_an_unresolved_outcome() -> None:
@@ -139,7 +139,7 @@
     rebuilt = merge(evidence(older, newer), CHUNK)
     assert rebuilt.finals["job-1"].state == UNRESOLVED
     assert [d.kind for d in rebuilt.unresolved] == [UnresolvedKind.OUTCOME.value]
-    assert rebuilt.uncertain
+    assert rebuilt.jobs_may_be_missing
 
 
 def test_a_deleted_job_that_was_cancelled_has_no_unresolved_outcome() -> None:
@@ -155,13 +155,13 @@
 def test_a_cancellation_in_any_copy_applies() -> None:
     cancelled = {job_key("job-1"): (5, JobRecord(spec("job-1"), 1.0, True, 2.0))}
     replica = source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS)
-    remains = source(SourceKind.REMAINS, "state service", 12, cancelled)
+    remains = source(SourceKind.STATE_SERVICE, "state service", 12, cancelled)
     assert merge(evidence(replica, remains), CHUNK).jobs["job-1"].cancelled
 
 
 def test_conflicting_final_states_leave_the_outcome_unresolved() -> None:
     one = source(SourceKind.REPLICA, "n0", 9, {"final/job-1": (0, FinalRecord(wire.DONE, 1))})
-    other = source(SourceKind.REMAINS, "state service", 9, {"final/job-1": (0, FinalRecord(wire.CANCELLED, 1))})
+    other = source(SourceKind.STATE_SERVICE, "state service", 9, {"final/job-1": (0, FinalRecord(wire.CANCELLED, 1))})
     rebuilt = merge(evidence(one, other), CHUNK)
     assert rebuilt.finals["job-1"].state == UNRESOLVED
     assert rebuilt.unresolved[0].kind == UnresolvedKind.CONFLICT.value
@@ -182,7 +182,7 @@
 def test_all_members_of_a_gang_get_the_same_attempt() -> None:
     live = {
         job_key("job-1"): (5, JobRecord(spec("job-1", 2, wire.GANG), 1.0)),
-        "live/allot/a/job-1/0": (8, AllocationRecord([TaskEntry(0, FREE, 2), TaskEntry(1, FREE, 4)])),
+        "live/allot/a/job-1/0": (8, AllocationRecord([TaskEntry(0, UNASSIGNED, 2), TaskEntry(1, UNASSIGNED, 4)])),
     }
     rebuilt = merge(evidence(source(SourceKind.REPLICA, "n0", 9, live)), CHUNK)
     assert len({e.attempt for e in entries(rebuilt, "job-1").values()}) == 1
@@ -191,7 +191,7 @@
 def test_attempts_rise_above_unrecorded_ones_if_a_copy_is_missing() -> None:
     copies = source(SourceKind.REPLICA, "n0", 9, LIVE_RECORDS), source(SourceKind.ARCHIVE, "archive", 9, LIVE_RECORDS)
     certain, uncertain = merge(evidence(*copies), CHUNK), merge(evidence(*copies, complete=False), CHUNK)
-    assert (certain.uncertain, uncertain.uncertain) == (False, True)
+    assert (certain.jobs_may_be_missing, uncertain.jobs_may_be_missing) == (False, True)
     assert entries(certain, "job-1")[2].attempt == 2
     assert entries(uncertain, "job-1")[2].attempt > 100
 
@@ -205,7 +205,7 @@
         evidence(copy, heartbeats=[report("vm-1", ("nonsense", 1, "running", None), ("job-1/77", 1, "running", None))]),
         CHUNK,
     )
-    assert rebuilt.set_aside == 4
+    assert rebuilt.ignored_entries == 4
     assert set(rebuilt.jobs) == {"job-1"}
 
 
@@ -250,7 +250,7 @@
         if key not in self.keys:
             self._commit(**{key: JobRecord(spec(job), 1.0)})
         elif where not in self.keys:
-            self._commit(**{where: AllocationRecord([TaskEntry(i, FREE) for i in range(3)])})
+            self._commit(**{where: AllocationRecord([TaskEntry(i, UNASSIGNED) for i in range(3)])})
         elif self.random.random() < 0.08:
             self._commit(**{key: JobRecord(spec(job), 1.0, True, 2.0)})
         else:
@@ -260,10 +260,10 @@
         tasks: list[TaskEntry] = list(self.keys[where][1].tasks)
         at = self.random.randrange(3)
         task = tasks[at]
-        if task.state == FREE:
+        if task.state == UNASSIGNED:
             tasks[at] = TaskEntry(at, ASSIGNED, task.attempt + 1, self.random.choice(MACHINES), 1)
         elif task.state == ASSIGNED:
-            tasks[at] = TaskEntry(at, self.random.choice([ENDED, FREE]), task.attempt)
+            tasks[at] = TaskEntry(at, self.random.choice([ENDED, UNASSIGNED]), task.attempt)
         if all(t.state == ENDED for t in tasks):
             state = wire.CANCELLED if self.keys[key][1].cancelled else wire.DONE
             self._commit(**{key: None, where: None, records.FINAL + job: FinalRecord(state, 3)})
@@ -290,7 +290,9 @@
     """Encodes rebuilt records independently of their order, for comparison."""
     allocations = {str(allocation): record for allocation, record in sorted(rebuilt.allocations.items())}
     jobs, finals = dict(sorted(rebuilt.jobs.items())), dict(sorted(rebuilt.finals.items()))
-    return msgspec.json.encode([jobs, allocations, finals, rebuilt.unresolved, rebuilt.uncertain, rebuilt.set_aside])
+    return msgspec.json.encode(
+        [jobs, allocations, finals, rebuilt.unresolved, rebuilt.jobs_may_be_missing, rebuilt.ignored_entries]
+    )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -327,7 +329,7 @@
         elif isinstance(record, AllocationRecord):
             found = entries(rebuilt, records.AllocationKey.parse(key).job)
             for entry in record.tasks:
-                expected = RETURNED if entry.state == FREE else entry.state
+                expected = RETURNED if entry.state == UNASSIGNED else entry.state
                 assert (found[entry.index].state, found[entry.index].machine) == (
                     expected,
                     entry.machine if expected == ASSIGNED else "",
@@ -344,7 +346,7 @@
     archive = timeline.copy(SourceKind.ARCHIVE, "archive", int(archived * timeline.revision))
     heartbeats = timeline.worker_reports()
     rebuilt = merge(evidence(archive, heartbeats=heartbeats, complete=False), CHUNK)
-    assert rebuilt.uncertain
+    assert rebuilt.jobs_may_be_missing
     running = {t.task: r.machine for r in heartbeats for t in r.tasks}
     for job in rebuilt.jobs:
         for entry in entries(rebuilt, job).values():
@@ -353,7 +355,7 @@
                 assert (entry.state, entry.machine) == (ASSIGNED, machine)
 
 
-@pytest.mark.parametrize("state", [FREE, RETURNED])
+@pytest.mark.parametrize("state", [UNASSIGNED, RETURNED])
 def test_merging_rebuilt_records_again_keeps_all_task_states(state: int) -> None:
     """A rebuilt history may be lost too: merging its own records must give the same task states."""
     live = {
--- a/tests/test_recovery_faults.py
+++ b/tests/test_recovery_faults.py
@@ -37,14 +37,14 @@
 def test_records_of_older_copies_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def oldest(sources: Iterable[Source]) -> dict[str, Versioned]:
         copies = sorted(sources, key=lambda source: source.revision)
-        return dict(copies[0].alive)
+        return dict(copies[0].live_records)
 
-    monkeypatch.setattr(merge, "alive_records", oldest)
+    monkeypatch.setattr(merge, "merge_live_records", oldest)
     assert run_scenario("archive-lags")
 
 
 def test_epochs_that_do_not_rise_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(rebuild, "EPOCHS_UNSEEN", 0)
+    monkeypatch.setattr(rebuild, "EPOCH_MARGIN", 0)
     for module in (rebuild, worker_survey):
         monkeypatch.setattr(module, "highest_epoch", lambda sources: 1)
     monkeypatch.setattr(HeartbeatCollector, "highest_epoch", property(lambda self: 0, lambda self, epoch: None), False)
@@ -52,5 +52,5 @@
 
 
 def test_ignored_signs_of_loss_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(HistoryGuard, "lose", lambda self, reason: False)
+    monkeypatch.setattr(HistoryGuard, "mark_lost", lambda self, reason: False)
     assert run_scenario("archive-lags")
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -12,7 +12,7 @@
 import curio
 import pytest
 
-from spurarch.archive.directory import histories
+from spurarch.archive.directory import list_history_directories
 from spurarch.archive.follower import Follower, OtherInstallationError
 from spurarch.archive.reader import read_state
 from spurarch.archive.server import history_record
@@ -69,7 +69,7 @@
         history = await declare_first_history(client, False, True, "here")
         status = await operators.read_status(client)
         assert status.history == history
-        assert (history.archived_answers, history.installation, status.is_open) == (True, "here", True)
+        assert (history.responses_await_archive, history.installation, status.is_open) == (True, "here", True)
         with pytest.raises(OperatorError, match="already"):
             await declare_first_history(client, False)
 
@@ -188,7 +188,7 @@
         await task.cancel()
 
     with_state_service(check)
-    assert history_record(read_state(histories(tmp_path)[0])).installation == "here"
+    assert history_record(read_state(list_history_directories(tmp_path)[0])).installation == "here"
 
 
 def test_controllers_do_not_serve_records_of_another_installation() -> None:
@@ -228,15 +228,15 @@
 
     async def check() -> None:
         timing_out, holding = ArchiveProgress(guard, 5.0, False), ArchiveProgress(guard, 5.0, True)
-        revision = timing_out.recorded()
+        revision = timing_out.recorded_revision()
         assert revision == 60
         assert not timing_out.covers(revision)
         await curio.sleep(6.0)
         assert timing_out.covers(revision)
         assert not holding.covers(revision)
-        guard.archived = 60
+        guard.archived_revision = 60
         assert holding.covers(revision)
         guard.record_change(["live/member/n0"], 70)  # a member record, which is not archived
-        assert timing_out.recorded() == 60
+        assert timing_out.recorded_revision() == 60
 
     clock.run(check)
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -49,7 +49,7 @@
     path: Path, values: dict[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Rebuilds with many records per stored value, as for large histories, whatever the size of the history."""
-    monkeypatch.setattr(history_writer, "SEEDED_ABOVE_S", 0.0)
+    monkeypatch.setattr(history_writer, "MAX_UNSHARED_WRITE_S", 0.0)
     unpacked_keys: list[str] = []
     original_unpack = Committer._unpack
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -342,7 +342,7 @@
 
 def test_a_task_entry_changes_only_from_the_state_that_its_change_was_decided_for() -> None:
     """Between a decision and its transaction, the leader may have moved a task, or an owner recorded its end."""
-    record = AllocationRecord([TaskEntry(0, records.FREE, 1), TaskEntry(1, records.ASSIGNED, 2, "vm-1", 1)])
+    record = AllocationRecord([TaskEntry(0, records.UNASSIGNED, 1), TaskEntry(1, records.ASSIGNED, 2, "vm-1", 1)])
     start = TaskEntry(0, records.ASSIGNED, 2, "vm-1", 1)
     end = TaskEntry(1, records.ENDED, 2)
     new = merge_changes(record, {0: start, 1: end, 7: start})
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -243,7 +243,7 @@
 def two_teams() -> tuple[Replica, Any]:
     """A replica with one job of each of two teams, and its fleet view."""
     replica = Replica(Store(ImmediateStateService(), StateLimits(100.0, 100.0, 16.0, 24), 1))
-    replica.state.consistent_from = 0
+    replica.state.consistent_from_revision = 0
     view = FleetView(replica.state, [Team("t", quota_cpus=8.0), Team("other", quota_cpus=8.0)])
     for job_id, team in (("job-1", "t"), ("job-2", "other")):
         spec = submission(job_id, 4)
