--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -15,7 +15,7 @@
 from spurarch.storage import records
 
 PASS_INTERVAL_S = 10.0
-ENTRIES_AT_ONCE = 500  # task entries per step: takes well below a millisecond, ten times a second
+ENTRIES_PER_STEP = 500  # task entries per step: takes well below a millisecond, ten times a second
 CHARGED_STATES = {records.UNASSIGNED, records.ASSIGNED}
 
 
@@ -37,7 +37,7 @@
             self._check_job(self._remaining_jobs.pop())
         self._end_pass()
 
-    def check_some(self, now: float) -> None:
+    def check_step(self, now: float) -> None:
         """Runs one step of a pass; begins the next pass if none is in progress and it is due.
 
         `now` is monotonic, in seconds. The fleet view has to be up to date.
@@ -48,7 +48,7 @@
             self._next_pass = now + PASS_INTERVAL_S
             self._begin_pass()
         entries = 0
-        while self._remaining_jobs and entries < ENTRIES_AT_ONCE:
+        while self._remaining_jobs and entries < ENTRIES_PER_STEP:
             entries += self._check_job(self._remaining_jobs.pop())
         if not self._remaining_jobs:
             self._end_pass()
@@ -108,6 +108,6 @@
                     f"team total differs from its jobs team={view.quotas[team].name} "
                     f"charged={charged} recorded={recorded}"
                 )
-                view.ledger.adjust(team, recorded - charged)
+                view.ledger.add_recorded(team, recorded - charged)
                 self._differing_teams.add(team)
                 view.ledger.suspend(team, "total differed from its jobs")
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -77,7 +77,7 @@
         the task than in the machines.
         """
         state = self._state
-        for allocation, job, unassigned, often_tried in self._view.unassigned_tasks():
+        for allocation, job, unassigned, often_tried in self._view.allocations_with_unassigned_tasks():
             zone = self._view.zones.index(allocation.zone)
             known_not_to_fit = state.no_free_capacity.covers(job.requirements, zone)
             unplaced = unassigned
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -13,7 +13,7 @@
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import QuotaReservation
 from spurarch.coordination.membership.membership import Membership
-from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_job
 from spurarch.settings import StateLimits
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
@@ -118,7 +118,9 @@
         self, job_id: str, grants: list[AdmissionGrant], planned_versions: RecordVersions
     ) -> JobAdmission | None:
         """Returns the record changes that admit the tasks of one job; None if the plan for it is outdated."""
-        if not is_live(self._replica.state, job_id) or not self._is_still_valid(job_id, grants, planned_versions):
+        if not is_uncancelled_job(self._replica.state, job_id) or not self._is_still_valid(
+            job_id, grants, planned_versions
+        ):
             return None
         return self._job_admission(job_id, grants)
 
--- a/spurarch/coordination/fleet/capacity.py
+++ b/spurarch/coordination/fleet/capacity.py
@@ -45,7 +45,7 @@
 class MachineCapacity:
     """Total and free resources of one machine, its booked tasks and its cached images.
 
-    `by_priority` holds the booked CPUs, GPUs and gigabytes of memory for each priority.
+    `used_by_priority` holds the booked CPUs, GPUs and gigabytes of memory for each priority.
     """
 
     machine: int
@@ -61,7 +61,7 @@
     images: set[int] = field(default_factory=set)
     tasks: int = 0
     schedulable: bool = True
-    by_priority: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(PRIORITIES)])
+    used_by_priority: list[list[float]] = field(default_factory=lambda: [[0.0, 0.0, 0.0] for _ in range(PRIORITIES)])
 
     def book(self, requirements: Requirements, count: int = 1) -> None:
         """Books `count` tasks; a negative count removes bookings."""
@@ -70,7 +70,7 @@
         self.free_gpus -= gpus
         self.free_memory_gb -= memory
         self.tasks += count
-        used = self.by_priority[requirements.priority]
+        used = self.used_by_priority[requirements.priority]
         used[0] += cpus
         used[1] += gpus
         used[2] += memory
@@ -81,12 +81,12 @@
 
     def copy(self) -> MachineCapacity:
         """Returns a copy with its own bookings; the set of images is shared with the original."""
-        return replace(self, by_priority=[list(used) for used in self.by_priority])
+        return replace(self, used_by_priority=[list(used) for used in self.used_by_priority])
 
     def fits_by_preemption(self, requirements: Requirements) -> bool:
         """Whether the task would fit if all work of lower priority were preempted."""
         cpus, gpus, memory = self.free_cpus, self.free_gpus, self.free_memory_gb
-        for used in self.by_priority[requirements.priority + 1 :]:
+        for used in self.used_by_priority[requirements.priority + 1 :]:
             cpus += used[0]
             gpus += used[1]
             memory += used[2]
@@ -94,10 +94,10 @@
             requirements.cpus <= cpus + EPSILON
             and requirements.gpus <= gpus + EPSILON
             and requirements.memory_gb <= memory + EPSILON
-            and self.allows(requirements)
+            and self.satisfies_constraints(requirements)
         )
 
-    def allows(self, requirements: Requirements) -> bool:
+    def satisfies_constraints(self, requirements: Requirements) -> bool:
         """Whether machine type, spot and zone satisfy the task's constraints, regardless of free capacity."""
         return (
             (requirements.types is None or self.type in requirements.types)
@@ -111,7 +111,7 @@
             requirements.cpus <= self.free_cpus + EPSILON
             and requirements.memory_gb <= self.free_memory_gb + EPSILON
             and requirements.gpus <= self.free_gpus + EPSILON
-            and self.allows(requirements)
+            and self.satisfies_constraints(requirements)
         )
 
     def fits_when_empty(self, requirements: Requirements) -> bool:
@@ -120,7 +120,7 @@
             requirements.cpus <= self.cpus + EPSILON
             and requirements.memory_gb <= self.memory_gb + EPSILON
             and requirements.gpus <= self.gpus + EPSILON
-            and self.allows(requirements)
+            and self.satisfies_constraints(requirements)
         )
 
     def slots_after_preemption(self, requirements: Requirements, max_tasks: int) -> int:
@@ -128,14 +128,14 @@
 
         Work of the highest priority is assumed to run indefinitely.
         """
-        lower = self.by_priority[1:]
+        lower = self.used_by_priority[1:]
         after_preemption = replace(
             self,
             free_cpus=self.free_cpus + sum(used[0] for used in lower),
             free_gpus=self.free_gpus + sum(used[1] for used in lower),
             free_memory_gb=self.free_memory_gb + sum(used[2] for used in lower),
         )
-        return after_preemption.task_slots(requirements, max_tasks) if self.allows(requirements) else 0
+        return after_preemption.task_slots(requirements, max_tasks) if self.satisfies_constraints(requirements) else 0
 
     def task_slots(self, requirements: Requirements, max_tasks: int) -> int:
         """Number of such tasks that the free resources fit, up to `max_tasks`; does not check constraints."""
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -43,7 +43,7 @@
         self.quotas: dict[int, Team] = {}
         self.ledger = QuotaLedger(self.quotas)
         self.machine_types: dict[str, wire.MachineType] = {}
-        self._booked: dict[AllocationKey, AllocationTotals] = {}
+        self._booked_totals: dict[AllocationKey, AllocationTotals] = {}
         self._allocations_without_job: dict[str, set[AllocationKey]] = {}  # by job id, for jobs without a record
         self._unassigned: dict[AllocationKey, AllocationTotals] = {}
         self._assigned: dict[int, dict[AllocationKey, int]] = defaultdict(dict)  # by machine, the number of tasks
@@ -111,7 +111,7 @@
     def rebook_job(self, job_id: str) -> None:
         """Replaces a job's bookings by those that its records show."""
         self._apply_job(job_id)
-        booked = [allocation for allocation in self._booked if allocation.job == job_id]
+        booked = [allocation for allocation in self._booked_totals if allocation.job == job_id]
         for allocation in [*self.state.allocations.get(job_id, ()), *booked]:
             self._apply_allocation(allocation)
         self._update_demand(job_id)
@@ -221,14 +221,14 @@
             self._track_without_job(allocation)
             return
         charged = 0  # change of the number of charged tasks
-        old = self._booked.pop(allocation, None)
+        old = self._booked_totals.pop(allocation, None)
         if old is not None:
             self._unassigned.pop(allocation, None)
             self._book(allocation, job, old, -1)
             charged -= old.charged
         record = self.state.allocations.get(allocation.job, {}).get(allocation)
         if record is not None:
-            self._booked[allocation] = new = AllocationTotals.of(
+            self._booked_totals[allocation] = new = AllocationTotals.of(
                 record, self.zones.index(allocation.zone), self.machines
             )
             if new.unassigned:
@@ -236,7 +236,7 @@
             self._book(allocation, job, new, 1)
             charged += new.charged
         if charged:
-            self.ledger.adjust(job.team, job.charge_per_task.times(charged))
+            self.ledger.add_recorded(job.team, job.charge_per_task.times(charged))
 
     def _track_without_job(self, allocation: AllocationKey) -> None:
         tracked = self._allocations_without_job.setdefault(allocation.job, set())
@@ -287,7 +287,7 @@
         rate = max((offer.fetch_gb_per_s for offer in self.machine_types.values()), default=0.0)
         return job.image_gb / rate if rate > 0 else 0.0
 
-    def unassigned_tasks(self) -> list[tuple[AllocationKey, JobView, int, int]]:
+    def allocations_with_unassigned_tasks(self) -> list[tuple[AllocationKey, JobView, int, int]]:
         """Allocations with unassigned tasks: key, job, their number, and the number of those with repeated attempts."""
         return [
             (allocation, self.jobs[allocation.job], totals.unassigned, totals.repeatedly_attempted)
--- a/spurarch/coordination/fleet/quota_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -96,7 +96,7 @@
             return NO_CHARGE
         return sum((r.charge for r in self._reservations if r.job == job), NO_CHARGE)
 
-    def adjust(self, team: int, charge: Charge) -> None:
+    def add_recorded(self, team: int, charge: Charge) -> None:
         """Adds `charge`, which may be negative, to the recorded total of a team."""
         self._totals_before_changes.setdefault(team, self.recorded(team))
         self._recorded[team] = self.recorded(team) + charge
@@ -152,17 +152,17 @@
             if outcome_in_copy or reservation.term < term:
                 self.release(reservation)
 
-    def check_quotas(self, whole: bool) -> None:
+    def check_quotas(self, records_complete: bool) -> None:
         """Records a violation for each team whose recorded total has risen above its quota since the last check.
 
-        With `whole` False, nothing is recorded, because the copy of the records was incomplete. A total
+        With `records_complete` False, nothing is recorded, because the copy of the records was incomplete. A total
         above a quota that was lowered is not a violation: nothing more is admitted, and no task is stopped.
         """
         for team, previous in self._totals_before_changes.items():
             quota, total = self._quota(team), self.recorded(team)
             cpus_rose_beyond = 0 < quota.cpus < total.cpus > previous.cpus
             gpus_rose_beyond = 0 < quota.gpus < total.gpus > previous.gpus
-            if whole and (cpus_rose_beyond or gpus_rose_beyond):
+            if records_complete and (cpus_rose_beyond or gpus_rose_beyond):
                 self.violations.record(
                     f"team total rose beyond its quota team={self._team_name(team)} {self.describe(team)}"
                 )
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -16,7 +16,7 @@
 from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.admission.writer import AdmissionWriter
 from spurarch.coordination.leader_context import LeaderContext
-from spurarch.coordination.runtime.round_budget import RoundBudget, rest_s
+from spurarch.coordination.runtime.round_budget import RoundBudget, pause_after_round_s
 from spurarch.coordination.scaling.scale_out import ScaleOut
 from spurarch.storage.rate_limits import Urgency
 
@@ -105,7 +105,7 @@
         plan = planner.run(self._next_job, budget.spent, self.deployment.state.txn_ops)
         # The pause keeps rounds within a share of the processor, however much there is to admit.
         ended = time.monotonic()
-        self._next_round_at = ended + rest_s(ended - now, cpu_share, ROUND_PAUSE_FACTOR, MIN_ROUND_PAUSE_S)
+        self._next_round_at = ended + pause_after_round_s(ended - now, cpu_share, ROUND_PAUSE_FACTOR, MIN_ROUND_PAUSE_S)
         self._record_shortages(plan)
         service_and_gang_grants = [grant for grant in plan.grants if not self.view.jobs[grant.job].array]
         array_grants = [grant for grant in plan.grants if self.view.jobs[grant.job].array]
@@ -143,7 +143,7 @@
             try:
                 if self._term is not None and self.membership.confirmed_term == self._term:
                     self.view.update()
-                    self._audit.check_some(time.monotonic())
+                    self._audit.check_step(time.monotonic())
                     self._log_quota_totals(time.monotonic())
                     await self._finalizer.finalize_jobs()
             except curio.CancelledError:
--- a/spurarch/coordination/membership/freshness.py
+++ b/spurarch/coordination/membership/freshness.py
@@ -39,7 +39,7 @@
     async def _check(self) -> None:
         replica = self._replica
         if time.monotonic() - replica.synced_at <= MAX_COPY_AGE_S or await replica.sync(MAX_COPY_AGE_S):
-            self._reachability.discard_confirmed(replica.synced_at)
+            self._reachability.discard_synced_cancellations(replica.synced_at)
         elif time.monotonic() - replica.synced_at > PING_COPY_AGE_S:
             frame = peer_messages.encode(peer_messages.Ping(self._node))
             for node, client in self._clients.items():
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -41,9 +41,9 @@
 
     def may_command(self, now: float) -> bool:
         """Whether commands may be sent: heartbeats may be answered, and no stall followed the newest attestation."""
-        return self.may_answer(now) and self.is_not_stalled(now)
+        return self.may_answer(now) and self.is_confirmed_since_stall(now)
 
-    def is_not_stalled(self, now: float) -> bool:
+    def is_confirmed_since_stall(self, now: float) -> bool:
         """Whether the process never stalled, or has an attestation of freshness from after it resumed."""
         return self._stall_detector.confirmed_since_stall(
             now, self.reachability.freshness_bound(self._replica.synced_at)
@@ -57,7 +57,7 @@
         """
         return (
             now - self._replica.synced_at < FRESH_COPY_AGE_S
-            and self.is_not_stalled(now)
+            and self.is_confirmed_since_stall(now)
             and self._replica.store.trusted
         )
 
@@ -70,9 +70,9 @@
         record = self._membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
 
-    def superseded(self, zone: str) -> bool:
+    def is_owned_by_peer(self, zone: str) -> bool:
         """Whether a peer reported, from newer records, that another controller owns the zone's partition."""
-        reported = self.reachability.partitions_by_peers.get(zone)
+        reported = self.reachability.reported_owners.get(zone)
         if reported is None or reported.node == self._membership.node:
             return False
         partition = self._replica.state.partitions.get(zone)
@@ -88,5 +88,5 @@
         if record is not None and record.cancelled:
             elapsed_s = time.time() - record.cancelled_at if record.cancelled_at > 0 else 0.0
             return min(max(elapsed_s, 0.0), self._cancel_s)
-        reported_at = self.reachability.cancelled_by_peers.get(job)
+        reported_at = self.reachability.reported_cancellations.get(job)
         return time.monotonic() - reported_at if reported_at is not None else None
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -30,13 +30,13 @@
 
 from spurarch.protocol import peer_messages
 
-CLOCK_DRIFT = 1.001  # maximum ratio between the rates of two clocks
+MAX_CLOCK_RATE_RATIO = 1.001  # maximum ratio between the rates of two clocks
 MARGIN_S, MARGIN_SHARE = 1.0, 0.05  # safety margin: a constant, plus a share of `cancel_s`
 RESPONSE_VALID_S = 4.0  # for which a peer counts as responding after a pong
 NEVER = float("-inf")
 
 
-class KnownOwner(Struct, frozen=True):
+class ReportedOwner(Struct, frozen=True):
     """The owner of a partition and its epoch, as reported by a peer."""
 
     node: str
@@ -57,19 +57,19 @@
 
     Attributes:
         freshness_limit_s: Age of the freshness bound from which on heartbeats may not be answered.
-        cancelled_by_peers: By job, when a peer first reported its cancellation.
-        partitions_by_peers: By zone, the reported owner with the highest epoch.
+        reported_cancellations: By job, when a peer first reported its cancellation.
+        reported_owners: By zone, the reported owner with the highest epoch.
         peer_reached_store_at: When the latest ping was sent that a peer with access to the state service answered.
     """
 
     def __init__(self, peers: list[str], cancel_s: float, lease_s: float) -> None:
         margin_s = MARGIN_S + MARGIN_SHARE * cancel_s
-        self.freshness_limit_s = (cancel_s - lease_s) / CLOCK_DRIFT - margin_s
+        self.freshness_limit_s = (cancel_s - lease_s) / MAX_CLOCK_RATE_RATIO - margin_s
         self._attested_at = dict.fromkeys(peers, NEVER)  # by peer: sending time of the latest ping that it attested to
         self._peer_copy_complete_at = NEVER  # newest time for which a pong listed all earlier cancellations
         self._last_responses: dict[str, _PeerResponse] = {}  # by peer
-        self.cancelled_by_peers: dict[str, float] = {}
-        self.partitions_by_peers: dict[str, KnownOwner] = {}
+        self.reported_cancellations: dict[str, float] = {}
+        self.reported_owners: dict[str, ReportedOwner] = {}
         self.peer_reached_store_at = NEVER
 
     def on_pong(
@@ -86,18 +86,18 @@
         """
         self.record_cancelled(pong.cancelled_jobs, received_at)
         for zone, node, epoch in pong.partitions:
-            reported = self.partitions_by_peers.get(zone)
+            reported = self.reported_owners.get(zone)
             if epoch > (reported.epoch if reported is not None else 0):
-                self.partitions_by_peers[zone] = KnownOwner(node, epoch)
+                self.reported_owners[zone] = ReportedOwner(node, epoch)
         self._last_responses[peer] = _PeerResponse(pong.process_incarnation, received_at)
         bound_before = self.freshness_bound(synced_at)
         if pong.store_reachable:
             self.peer_reached_store_at = max(self.peer_reached_store_at, sent_at)
             self._peer_copy_complete_at = max(self._peer_copy_complete_at, sent_at)
         elif pong.copy_age_s >= 0:
-            copied_at = sent_at - pong.copy_age_s * CLOCK_DRIFT
+            copied_at = sent_at - pong.copy_age_s * MAX_CLOCK_RATE_RATIO
             self._peer_copy_complete_at = max(self._peer_copy_complete_at, copied_at)
-        elif received_at - pong.uptime_s / CLOCK_DRIFT > bound_before:
+        elif received_at - pong.uptime_s / MAX_CLOCK_RATE_RATIO > bound_before:
             return  # an earlier process of the peer may have confirmed a cancellation that no other controller received
         if peer in self._attested_at:
             self._attested_at[peer] = max(self._attested_at[peer], sent_at)
@@ -105,12 +105,14 @@
     def record_cancelled(self, jobs: list[str], now: float) -> None:
         """Records cancellations that a peer reported."""
         for job_id in jobs:
-            self.cancelled_by_peers.setdefault(job_id, now)
+            self.reported_cancellations.setdefault(job_id, now)
 
-    def discard_confirmed(self, synced_at: float) -> None:
+    def discard_synced_cancellations(self, synced_at: float) -> None:
         """Drops cancellations reported before the newest read of the state service: the copy contains them."""
-        if self.cancelled_by_peers:
-            self.cancelled_by_peers = {job_id: at for job_id, at in self.cancelled_by_peers.items() if at >= synced_at}
+        if self.reported_cancellations:
+            self.reported_cancellations = {
+                job_id: at for job_id, at in self.reported_cancellations.items() if at >= synced_at
+            }
 
     def peer_responds(self, peer: str, now: float, process_incarnation: str | None = None) -> bool:
         """Whether the peer answered a ping recently; with `process_incarnation`, whether that process did."""
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -11,7 +11,7 @@
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = 1.5, 1.0
 
 
-def is_live(cluster: ClusterState, job: str) -> bool:
+def is_uncancelled_job(cluster: ClusterState, job: str) -> bool:
     """Whether the job is on record and not cancelled."""
     record: JobRecord | None = cluster.jobs.get(job)
     return record is not None and not record.cancelled
@@ -24,9 +24,9 @@
     return spec.checkpoint_duration_s * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_MARGIN_S
 
 
-def is_live_gang(cluster: ClusterState, job: str) -> bool:
+def is_uncancelled_gang(cluster: ClusterState, job: str) -> bool:
     """Whether the job is on record, not cancelled, and a gang."""
-    return is_live(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
+    return is_uncancelled_job(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
 
 
 _PREVIOUS_STATES: dict[int, set[TaskState]] = {
--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -29,7 +29,7 @@
         out: list[wire.Command] = []
         if machine.late_commands_fenced:
             # Without this check, a start command that arrives late would run a forgotten attempt again.
-            forget = machine.to_forget
+            forget = machine.exits_to_forget
             if self._context.coverage is not None:
                 forget = self._forgettable_exits(machine, self._context.coverage)
             out += [wire.Command(wire.FORGET, wire.task_name(*key), attempt) for key, attempt in forget.items()]
@@ -57,11 +57,11 @@
         """
         unarchived = [
             (key, revision)
-            for key, revision in machine.unarchived.items()
-            if key in machine.to_forget and not coverage.covers(revision)
+            for key, revision in machine.unarchived_exits.items()
+            if key in machine.exits_to_forget and not coverage.covers(revision)
         ]
-        machine.unarchived = dict(unarchived[-MAX_UNARCHIVED_EXITS:])
-        return {key: attempt for key, attempt in machine.to_forget.items() if key not in machine.unarchived}
+        machine.unarchived_exits = dict(unarchived[-MAX_UNARCHIVED_EXITS:])
+        return {key: attempt for key, attempt in machine.exits_to_forget.items() if key not in machine.unarchived_exits}
 
     def _is_checkpointing(self, attempt: TaskAttempt) -> bool:
         """Whether a task being stopped has time left to checkpoint; workers still report gang members as running."""
@@ -107,13 +107,13 @@
             attempt = machine.attempts.get(key) if key else None
             if attempt is not None and attempt.number == task.attempt:
                 continue
-            if key and machine.to_forget.get(key) == task.attempt:
+            if key and machine.exits_to_forget.get(key) == task.attempt:
                 listed[key] = task.attempt
             elif task.state != wire.EXITED:
                 out.append(wire.Command(wire.STOP, task.task, task.attempt, 0.0))
             elif machine.late_commands_fenced:
                 out.append(wire.Command(wire.FORGET, task.task, task.attempt))
-        machine.to_forget = listed
+        machine.exits_to_forget = listed
         return out
 
     def needs_command(self, machine: Machine) -> bool:
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -150,7 +150,7 @@
             return self.attempt
         return None
 
-    def waiting(self) -> list[tuple[AllocationKey, TaskEntry]]:
+    def unassigned_members(self) -> list[tuple[AllocationKey, TaskEntry]]:
         """Returns the unassigned members."""
         return [
             (allocation, entry)  # a plain tuple; a typed pair takes four times as long, in every placement round
@@ -160,9 +160,9 @@
         ]
 
     @property
-    def whole(self) -> bool:
+    def all_members_present(self) -> bool:
         """Whether all members are in this partition, assigned or unassigned."""
-        return len(self.members) + len(self.waiting()) >= self.size
+        return len(self.members) + len(self.unassigned_members()) >= self.size
 
     def to_stop(self) -> list[TaskAttempt]:
         """Returns the members to stop because another one completed, is being stopped or left without completing."""
--- a/spurarch/coordination/partition/heartbeats.py
+++ b/spurarch/coordination/partition/heartbeats.py
@@ -33,7 +33,7 @@
         self._statuses, self._stops, self._commands = statuses, stops, commands
         self._logged_rejections: set[str] = set()
 
-    def handle(self, heartbeat: wire.Heartbeat, now: float, commanding: bool = True) -> list[wire.Command] | None:
+    def handle(self, heartbeat: wire.Heartbeat, now: float, may_command: bool = True) -> list[wire.Command] | None:
         """Applies a heartbeat and returns the commands for its response.
 
         Heartbeats may be duplicated, delayed and reordered. Only one that is newer than all applied before, and that
@@ -42,7 +42,7 @@
         Args:
             heartbeat: The worker's heartbeat.
             now: Monotonic time in seconds.
-            commanding: Whether this owner may send commands. If not, another controller may own the partition, and the
+            may_command: Whether this owner may send commands. If not, another controller may own the partition, and the
                 response only renews the worker's lease.
 
         Returns:
@@ -57,7 +57,7 @@
             return []  # a duplicate or an older one, but the worker may still wait for a response
         self._statuses.apply(machine, heartbeat, now)
         self._probe_acknowledgement(machine, now)
-        if not commanding or machine.state is not MachineState.ACTIVE:
+        if not may_command or machine.state is not MachineState.ACTIVE:
             return []
         if not state.records_read:
             return self._commands.stops_for_cancelled(heartbeat)
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -17,7 +17,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.records import AllocationKey
 
-CLOCK_DRIFT = 1.001  # maximum ratio of the clock rates of a worker and its partition owner
+MAX_CLOCK_RATE_RATIO = 1.001  # maximum ratio of the clock rates of a worker and its partition owner
 LEASE_MARGIN_S = 0.5
 
 TaskKey = tuple[str, int]  # job and index; a plain tuple, as each heartbeat creates and compares one per task
@@ -152,8 +152,9 @@
         commands_in_flight: Requests with direct commands that have no response yet.
         last_heartbeat_at: When its newest message was received.
         termination_notice_until: When the cloud terminates the machine; None without a termination notice.
-        to_forget: Attempt numbers of exited tasks that the worker need not list any more, by task.
-        unarchived: By task of `to_forget`, the revision that has to be archived before the worker may forget the exit.
+        exits_to_forget: Attempt numbers of exited tasks that the worker need not list any more, by task.
+        unarchived_exits: By task of `exits_to_forget`, the revision that has to be archived before the worker may
+            forget the exit.
         cached_images: Images of tasks that have run on it.
         unconfirmed_cancellation_at: Earliest cancellation of a task that was on it when its lease expired; a hung
             machine may still run the task.
@@ -190,8 +191,8 @@
     last_heartbeat_at: float | None = None
     termination_notice_until: float | None = None
     attempts: dict[TaskKey, TaskAttempt] = field(default_factory=dict)
-    to_forget: dict[TaskKey, int] = field(default_factory=dict)
-    unarchived: dict[TaskKey, int] = field(default_factory=dict)
+    exits_to_forget: dict[TaskKey, int] = field(default_factory=dict)
+    unarchived_exits: dict[TaskKey, int] = field(default_factory=dict)
     cached_images: set[int] = field(default_factory=set)
     idle_since: float | None = None
     unconfirmed_cancellation_at: float | None = None
@@ -225,7 +226,7 @@
                 self.token_offered_at = None
                 self.responses_lost = False
 
-    def overdue_since(self) -> float | None:
+    def earliest_cancellation_at(self) -> float | None:
         """Returns when the earliest cancelled task that may still run here was cancelled; None without such a task."""
         times = [
             attempt.job_cancelled_at
@@ -266,7 +267,7 @@
         return (
             self.state is MachineState.ACTIVE
             and self.last_heartbeat_at is not None
-            and now - self.last_heartbeat_at > lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+            and now - self.last_heartbeat_at > lease_s * MAX_CLOCK_RATE_RATIO + LEASE_MARGIN_S
         )
 
 
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -105,7 +105,7 @@
         owned = self._owned_partition(zone, now)
         state = owned.partition.state
         triggers = state.scheduling_triggers
-        commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.is_not_stalled(now))
+        commands = owned.partition.on_heartbeat(heartbeat, now, self.permissions.is_confirmed_since_stall(now))
         if commands is None:
             return error_response(503, "not entitled to this worker")
         machine = state.machines[heartbeat.machine]
@@ -116,9 +116,9 @@
 
     def _reported_owner(self, zone: str, now: float) -> str | None:
         """Node of a responding peer that owns the zone by reports newer than this controller's records, else None."""
-        reported = self._context.reachability.partitions_by_peers.get(zone)
+        reported = self._context.reachability.reported_owners.get(zone)
         if (
-            self.permissions.superseded(zone)
+            self.permissions.is_owned_by_peer(zone)
             and reported is not None
             and self._context.reachability.peer_responds(reported.node, now)
         ):
@@ -186,7 +186,7 @@
             self._wakeup.clear()
             if self._replica.loaded:
                 await self._update_owned(time.monotonic())
-                await self.scale_in.watch_orphans(time.monotonic())
+                await self.scale_in.release_orphaned(time.monotonic())
             await curio.sleep(UPDATE_PAUSE_S)
 
     async def _update_owned(self, now: float) -> None:
@@ -218,11 +218,11 @@
             await curio.sleep(COMMAND_INTERVAL_S)
             try:
                 if (partition.state.records_read or owned.provisional) and self.permissions.owns(partition):
-                    self._feed.stop_jobs_cancelled_by_peers(owned)
+                    self._feed.stop_jobs_reported_cancelled(owned)
                     await self._commands.send(owned)
-                    await self.scale_in.watch_overdue(owned, time.monotonic())
+                    await self.scale_in.release_overdue(owned, time.monotonic())
                     if partition.state.records_read:
-                        await self.scale_in.watch_silence(owned, time.monotonic())
+                        await self.scale_in.release_silent(owned, time.monotonic())
             except curio.CancelledError:
                 raise
             except Exception:  # an unexpected error must not end the controller
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -80,13 +80,15 @@
         """Applies the current records of the changed keys."""
         self._record_follower.apply(cluster, keys, now)
 
-    def on_heartbeat(self, heartbeat: wire.Heartbeat, now: float, commanding: bool = True) -> list[wire.Command] | None:
+    def on_heartbeat(
+        self, heartbeat: wire.Heartbeat, now: float, may_command: bool = True
+    ) -> list[wire.Command] | None:
         """Applies a heartbeat; returns the commands for its response, or None if the status must not be 200."""
-        return self._heartbeats.handle(heartbeat, now, commanding)
+        return self._heartbeats.handle(heartbeat, now, may_command)
 
     def on_released(self, name: str) -> None:
         """Marks a machine as released, and its attempts as gone, once the cloud has confirmed its release."""
-        self.state.remember_released(name)
+        self.state.add_released_machine(name)
         machine = self.machines.get(name)
         if machine is not None:
             machine.transition(MachineState.RELEASED)
--- a/spurarch/coordination/partition/record_feed.py
+++ b/spurarch/coordination/partition/record_feed.py
@@ -46,7 +46,7 @@
             self.update(owned)
         elif not await self._read(owned):
             return
-        self.stop_jobs_cancelled_by_peers(owned)
+        self.stop_jobs_reported_cancelled(owned)
 
     async def _read(self, owned: OwnedPartition) -> bool:
         partition, state = owned.partition, self._replica.state
@@ -62,7 +62,7 @@
         partition.state.records_read = True
         return True
 
-    def stop_jobs_cancelled_by_peers(self, owned: OwnedPartition) -> None:
+    def stop_jobs_reported_cancelled(self, owned: OwnedPartition) -> None:
         """Stops tasks of jobs that peers report as cancelled while the state service can't be reached."""
-        for job_id in self._reachability.cancelled_by_peers:
+        for job_id in self._reachability.reported_cancellations:
             owned.partition.stop_job(job_id, time.monotonic())
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -7,7 +7,11 @@
 
 from collections.abc import Iterable
 
-from spurarch.coordination.partition.allocation_changes import checkpoint_grace_s, is_live, is_live_gang
+from spurarch.coordination.partition.allocation_changes import (
+    checkpoint_grace_s,
+    is_uncancelled_gang,
+    is_uncancelled_job,
+)
 from spurarch.coordination.partition.failures import FailureAttribution
 from spurarch.coordination.partition.machine import AttemptPhase, MachineState, TaskAttempt
 from spurarch.coordination.partition.state import PartitionContext, PartitionState
@@ -46,7 +50,7 @@
                     self._apply_machine(name, cluster.machines[zone].get(name))
             elif key.startswith(records.JOB):
                 job_id = key[len(records.JOB) :]
-                if not is_live(cluster, job_id):
+                if not is_uncancelled_job(cluster, job_id):
                     self._on_job_finished(job_id)
         self._stops.stop_gang_members()
 
@@ -79,14 +83,14 @@
         self, cluster: ClusterState, allocation: AllocationKey, record: AllocationRecord | None
     ) -> None:
         state = self._state
-        if is_live_gang(cluster, allocation.job):
+        if is_uncancelled_gang(cluster, allocation.job):
             spec = cluster.jobs[allocation.job].spec
             gang = state.gangs.track(allocation.job, spec.tasks, checkpoint_grace_s(spec))
             gang.apply_record(allocation, record.tasks if record is not None else None)
         if record is None:
             self._remove_allocation(cluster, allocation)
             return
-        live = is_live(cluster, allocation.job)
+        live = is_uncancelled_job(cluster, allocation.job)
         self._reconcile_attempts(cluster, allocation, record, live)
         if not live:
             state.orphaned_allocations.add(allocation)
@@ -144,9 +148,9 @@
         self._state.remove_attempt(attempt)
         machine = self._state.machines.get(attempt.machine)
         if machine is not None and attempt.phase is AttemptPhase.EXITED:
-            machine.to_forget[attempt.key] = attempt.number
+            machine.exits_to_forget[attempt.key] = attempt.number
             if self._coverage is not None and attempt.exit_reason == wire.REASON_DONE:
-                machine.unarchived[attempt.key] = self._coverage.recorded_revision()
+                machine.unarchived_exits[attempt.key] = self._coverage.recorded_revision()
 
     def _follow_split(self, cluster: ClusterState, attempt: TaskAttempt) -> bool:
         """Moves an attempt whose entry is now in another record of the same job, as after a split of its record.
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -13,7 +13,7 @@
 import curio
 
 from spurarch.coordination.membership.permissions import Permissions
-from spurarch.coordination.partition.allocation_changes import is_live_gang, merge_changes
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_gang, merge_changes
 from spurarch.coordination.partition.command_sender import CommandSender
 from spurarch.coordination.partition.machine import MachineState
 from spurarch.coordination.partition.owned_partition import OwnedPartition, OwnerContext
@@ -183,7 +183,7 @@
         if change.entries is None:
             deletable = owned.terminal_records.is_deletable(cluster, change.allocation)
             return [change.write] if change.write is not None and deletable else []
-        new = merge_changes(record, change.entries, is_live_gang(cluster, change.allocation.job))
+        new = merge_changes(record, change.entries, is_uncancelled_gang(cluster, change.allocation.job))
         if new is None:
             return []
         pieces = records.split(change.allocation, new, self._max_tasks_per_record)
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -68,12 +68,12 @@
             except Exception:  # an unexpected error must not end the controller
                 log.exception("partition round failed partition=%s", zone)
                 await curio.sleep(FAILURE_PAUSE_S)
-            await curio.sleep(self._context.lag.pause_s(ROUND_PAUSE_S))
+            await curio.sleep(self._context.lag.round_pause_s(ROUND_PAUSE_S))
 
     async def _run_round(self, owned: OwnedPartition) -> None:
         partition, cluster, now = owned.partition, self._context.replica.state, time.monotonic()
         writes: list[Write] = []
-        if now >= owned.next_tick and self._permissions.is_not_stalled(now):
+        if now >= owned.next_tick and self._permissions.is_confirmed_since_stall(now):
             owned.next_tick = now + PARTITION_TICK_S
             partition.tick(now)
             writes = machine_writes(partition, cluster, now)
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -20,7 +20,7 @@
 from spurarch.storage.records import AllocationKey, TaskEntry
 
 TOKEN_BITS = 36  # low bits of a fencing token, which hold a counter; the higher bits hold the epoch
-RELEASED_MACHINES_KEPT = 20_000  # machine names; several times the size of a fleet
+MAX_RELEASED_MACHINES = 20_000  # machine names; several times the size of a fleet
 
 
 class ArchiveCoverage(Protocol):
@@ -103,10 +103,10 @@
         self.machines[name] = machine
         return machine
 
-    def remember_released(self, name: str) -> None:
+    def add_released_machine(self, name: str) -> None:
         """Keeps the name of a released machine, since older heartbeats and records of it may still arrive."""
         self.released_machines[name] = None
-        if len(self.released_machines) > RELEASED_MACHINES_KEPT:
+        if len(self.released_machines) > MAX_RELEASED_MACHINES:
             del self.released_machines[next(iter(self.released_machines))]
 
     # Attempts
--- a/spurarch/coordination/partition/statuses.py
+++ b/spurarch/coordination/partition/statuses.py
@@ -74,7 +74,7 @@
         for attempt in list(machine.attempts.values()):
             if attempt.incarnation < incarnation:
                 self._state.transition(attempt, AttemptPhase.GONE)
-        machine.to_forget.clear()
+        machine.exits_to_forget.clear()
         machine.fence_below_token = 0  # workers reject commands to an earlier incarnation
         machine.unconfirmed_cancellation_at = None
 
--- a/spurarch/coordination/partition/terminal_records.py
+++ b/spurarch/coordination/partition/terminal_records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_job
 from spurarch.coordination.partition.gang import GangState
 from spurarch.coordination.partition.machine import AttemptPhase, TaskAttempt
 from spurarch.coordination.partition.state import PartitionState
@@ -34,7 +34,7 @@
         """Whether the allocation's job is finished and none of the allocation's tasks may still be running."""
         state = self._state
         record = cluster.zone_allocations[state.zone].get(allocation)
-        if record is None or is_live(cluster, allocation.job):
+        if record is None or is_uncancelled_job(cluster, allocation.job):
             return False
         terminal = state.terminal_attempts.get(allocation, {})
         if len(terminal) < len(state.attempts_by_allocation.get(allocation, ())):
@@ -76,7 +76,7 @@
             state.attempts_by_allocation.get(allocation, ())
         ):
             return True
-        if not is_live(cluster, allocation.job):
+        if not is_uncancelled_job(cluster, allocation.job):
             return False
         return allocation in state.allocations_to_restart or cluster.jobs[allocation.job].spec.kind == wire.SERVICE
 
@@ -90,7 +90,7 @@
         gang = self._state.gangs.get(attempt.allocation.job)
         if gang is not None and gang.state is GangState.ENDED:
             return records.ENDED  # members complete together, including those that have not reported it
-        if completed or not is_live(cluster, attempt.allocation.job):
+        if completed or not is_uncancelled_job(cluster, attempt.allocation.job):
             return records.ENDED
         return (
             records.RETURNED if self._state.unreachable else records.UNASSIGNED
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -89,7 +89,7 @@
         reached = replica.loaded and await replica.sync(PONG_SYNC_TIMEOUT_S)
         state, now = replica.state, time.monotonic()
         cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled}
-        cancelled |= set(self._reachability.cancelled_by_peers)
+        cancelled |= set(self._reachability.reported_cancellations)
         partitions = [(zone, partition.node, partition.epoch) for zone, partition in state.partitions.items()]
         has_synced = replica.synced_at > float("-inf")
         copy_age_s, uptime_s = now - replica.synced_at if has_synced else -1.0, now - self._started_at
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -107,7 +107,7 @@
             if now - received.received_at < LOAD_VALID_S
         }
         own_load = self._own_load(now)
-        self._owner.scale_in.unregistered_by_peer = {
+        self._owner.scale_in.unregistered_machines_by_peer = {
             node: dict(load.unregistered_machines) for node, load in loads.items()
         }
         loads[self._node] = own_load
@@ -123,7 +123,7 @@
             self._node,
             *self._store.rates.recent_writes(),
             self._owner.unregistered_machines(now),
-            self._owner.scale_in.released_unrecorded(),
+            self._owner.scale_in.released_on_record(),
             self._store.rates.throttled_writes,
         )
 
--- a/spurarch/coordination/runtime/event_loop_lag.py
+++ b/spurarch/coordination/runtime/event_loop_lag.py
@@ -9,7 +9,7 @@
 
 DECAY = 0.7  # factor of the recent lag from one measurement to the next
 LATE_THRESHOLD_S = 0.2
-LONGEST_PAUSE_S = 0.25
+MAX_ROUND_PAUSE_S = 0.25
 
 
 class EventLoopLag:
@@ -27,6 +27,6 @@
         """Whether processor time is too short for work that can wait."""
         return self.recent_s > LATE_THRESHOLD_S
 
-    def pause_s(self, min_s: float) -> float:
+    def round_pause_s(self, min_s: float) -> float:
         """Seconds for which changes are collected before the next decision round; at least `min_s`."""
-        return max(min_s, min(LONGEST_PAUSE_S, self.recent_s))
+        return max(min_s, min(MAX_ROUND_PAUSE_S, self.recent_s))
--- a/spurarch/coordination/runtime/round_budget.py
+++ b/spurarch/coordination/runtime/round_budget.py
@@ -4,19 +4,19 @@
 
 import time
 
-LONGEST_S = 0.05  # of wall-clock time, since all other work of the event loop waits, including heartbeats
+MAX_ROUND_S = 0.05  # of wall-clock time, since all other work of the event loop waits, including heartbeats
 
 
 class RoundBudget:
     """Limits the processor time of a round; the next round continues where this one stopped.
 
-    On a share of a core, the same processor time takes proportionally longer, up to `LONGEST_S`. The budget starts with
-    the first call of `spent`: the work that every round does before its first decision isn't counted, since a slow
+    On a share of a core, the same processor time takes proportionally longer, up to `MAX_ROUND_S`. The budget starts
+    with the first call of `spent`: the work that every round does before its first decision isn't counted, since a slow
     controller would otherwise spend each round on that work and never make a decision.
     """
 
     def __init__(self, processor_s: float, share: float) -> None:
-        self._span_s = min(LONGEST_S, processor_s / min(1.0, share))
+        self._span_s = min(MAX_ROUND_S, processor_s / min(1.0, share))
         self._deadline: float | None = None
 
     def spent(self) -> bool:
@@ -27,7 +27,7 @@
         return now > self._deadline
 
 
-def rest_s(took_s: float, share: float, factor: float, min_s: float) -> float:
+def pause_after_round_s(took_s: float, share: float, factor: float, min_s: float) -> float:
     """Seconds to pause after a round that took `took_s` on the clock.
 
     That is `factor` times the round's processor time, but at least `min_s`.
--- a/spurarch/coordination/scaling/isolation_detector.py
+++ b/spurarch/coordination/scaling/isolation_detector.py
@@ -30,11 +30,13 @@
     def __init__(self, membership: Membership) -> None:
         self._membership = membership
 
-    def update(self, owned: OwnedPartition, unregistered_by_peer: Mapping[str, Mapping[str, int]], now: float) -> None:
+    def update(
+        self, owned: OwnedPartition, unregistered_machines_by_peer: Mapping[str, Mapping[str, int]], now: float
+    ) -> None:
         """Updates the reachability of an owned zone.
 
-        `unregistered_by_peer` holds, by peer and zone, the number of workers that send heartbeats to that peer though
-        it does not own their partition. Peers without a recent load message are missing from it.
+        `unregistered_machines_by_peer` holds, by peer and zone, the number of workers that send heartbeats to that peer
+        though it does not own their partition. Peers without a recent load message are missing from it.
         """
         partition, zone = owned.partition, owned.partition.zone
         if not owned.mostly_silent:
@@ -49,25 +51,25 @@
             # repeatedly.
             partition.unreachable = False
         elif owned.mostly_silent_since is not None:
-            self._classify_silence(owned, owned.mostly_silent_since, unregistered_by_peer, now)
+            self._classify_silence(owned, owned.mostly_silent_since, unregistered_machines_by_peer, now)
         self._membership.set_unreachable(zone, partition.unreachable)
 
     def _classify_silence(
         self,
         owned: OwnedPartition,
         silent_since: float,
-        unregistered_by_peer: Mapping[str, Mapping[str, int]],
+        unregistered_machines_by_peer: Mapping[str, Mapping[str, int]],
         now: float,
     ) -> None:
         partition, zone = owned.partition, owned.partition.zone
-        unregistered = sum(machines.get(zone, 0) for machines in unregistered_by_peer.values())
-        no_peer_loads = not unregistered_by_peer and now - silent_since > MAX_SILENT_WITHOUT_PEERS_S
+        unregistered = sum(machines.get(zone, 0) for machines in unregistered_machines_by_peer.values())
+        no_peer_loads = not unregistered_machines_by_peer and now - silent_since > MAX_SILENT_WITHOUT_PEERS_S
         if unregistered >= max(1, min(MIN_UNREGISTERED_MACHINES, len(partition.machines) // 4)) or (
             no_peer_loads and not partition.unreachable
         ):
             self._membership.mark_isolated(zone, now)
             log.warning("one-way partition suspected, requesting another owner partition=%s", zone)
-        elif not partition.unreachable and unregistered_by_peer:
+        elif not partition.unreachable and unregistered_machines_by_peer:
             partition.unreachable = True
             log.warning("zone unreachable from all controllers partition=%s", zone)
 
--- a/spurarch/coordination/scaling/machine_releaser.py
+++ b/spurarch/coordination/scaling/machine_releaser.py
@@ -10,7 +10,7 @@
 from spurarch.coordination.partition.machine import Machine, MachineState
 from spurarch.coordination.partition.owned_partition import OwnedPartition
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.partition.state import RELEASED_MACHINES_KEPT
+from spurarch.coordination.partition.state import MAX_RELEASED_MACHINES
 from spurarch.storage import records
 from spurarch.storage.cloud import Cloud, CloudError, NoCapacityError
 from spurarch.storage.records import MachineRecord
@@ -69,8 +69,8 @@
             now = time.monotonic()
             return (
                 self._permissions.owns(owned.partition)
-                and self._permissions.is_not_stalled(now)
-                and any(machine.overdue_since() is not None for machine in machines)
+                and self._permissions.is_confirmed_since_stall(now)
+                and any(machine.earliest_cancellation_at() is not None for machine in machines)
             )
 
         try:
@@ -83,21 +83,21 @@
         log.info("releasing unowned machines with cancelled tasks machines=%s", ",".join(zones))
         try:
             await self._cloud.release(list(zones), may_release)
-            self.remember_released(zones)
+            self.add_released_machines(zones)
         except (CloudError, NoCapacityError) as err:
             log.info("machine release failed count=%d error=%s", len(zones), err)
 
     def was_released(self, name: str) -> bool:
-        """Whether this process released the machine, among the last RELEASED_MACHINES_KEPT."""
+        """Whether this process released the machine, among the last MAX_RELEASED_MACHINES."""
         return name in self._released
 
-    def remember_released(self, zones: dict[str, str]) -> None:
-        """Adds released machines, given as zones by name; drops the oldest beyond RELEASED_MACHINES_KEPT."""
+    def add_released_machines(self, zones: dict[str, str]) -> None:
+        """Adds released machines, given as zones by name; drops the oldest beyond MAX_RELEASED_MACHINES."""
         self._released.update(zones)
-        while len(self._released) > RELEASED_MACHINES_KEPT:
+        while len(self._released) > MAX_RELEASED_MACHINES:
             del self._released[next(iter(self._released))]
 
-    def released_unrecorded(self) -> list[str]:
+    def released_on_record(self) -> list[str]:
         """Returns released machines that are still on record, at most MAX_MACHINES_PER_RELEASE.
 
         The records remain if another controller took over the partition before they were deleted, or if a delayed
@@ -115,7 +115,7 @@
             return
         for machine in machines:
             owned.partition.on_released(machine.name)
-        self.remember_released({machine.name: machine.zone for machine in machines})
+        self.add_released_machines({machine.name: machine.zone for machine in machines})
         await owned.wakeup.set()
 
     async def _cordon(self, partition: Partition, machines: list[Machine]) -> bool:
--- a/spurarch/coordination/scaling/overdue_machines.py
+++ b/spurarch/coordination/scaling/overdue_machines.py
@@ -32,7 +32,11 @@
     overdue = []
     for name in list(partition.machines_with_cancelled_tasks):
         machine = partition.machines.get(name)
-        since = machine.overdue_since() if machine is not None and machine.state is not MachineState.RELEASED else None
+        since = (
+            machine.earliest_cancellation_at()
+            if machine is not None and machine.state is not MachineState.RELEASED
+            else None
+        )
         if machine is None or since is None:
             del partition.machines_with_cancelled_tasks[name]
             continue
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -58,37 +58,37 @@
         )
         self._isolation_detector = IsolationDetector(context.membership)
         # By peer and zone, the number of workers that send heartbeats to a peer that does not own their partition.
-        self.unregistered_by_peer: dict[str, dict[str, int]] = {}
+        self.unregistered_machines_by_peer: dict[str, dict[str, int]] = {}
         self._next_orphan_check = 0.0
         self._releasing_orphans = False
 
-    async def watch_silence(self, owned: OwnedPartition, now: float) -> None:
+    async def release_silent(self, owned: OwnedPartition, now: float) -> None:
         """Starts the release of machines that are silent, receive no heartbeat responses, or were never confirmed."""
         if now < owned.next_silence_check or not self._permissions.records_are_fresh(now):
             return
         owned.next_silence_check = now + CHECK_INTERVAL_S
         observation = SilenceObservation(owned.partition, self._workers, now, self._stall_detector.resumed_at)
         owned.mostly_silent = is_mostly_silent(observation)
-        self._isolation_detector.update(owned, self.unregistered_by_peer, now)
+        self._isolation_detector.update(owned, self.unregistered_machines_by_peer, now)
         limits = SilenceLimits.of(self._tuning, self._workers, self._reachability.freshness_limit_s)
         found = silent_machines(observation, limits, owned.mostly_silent)
         await self._start_release(owned, found, now, self._releaser.release_owned)
 
-    async def watch_overdue(self, owned: OwnedPartition, now: float) -> None:
+    async def release_overdue(self, owned: OwnedPartition, now: float) -> None:
         """Starts the release of machines with overdue cancelled tasks, even if the state service is unreachable."""
         partition = owned.partition
         if (
             not partition.machines_with_cancelled_tasks
             or now < owned.next_overdue_check
-            or not self._permissions.is_not_stalled(now)
-            or self._permissions.superseded(partition.zone)
+            or not self._permissions.is_confirmed_since_stall(now)
+            or self._permissions.is_owned_by_peer(partition.zone)
         ):
             return
         owned.next_overdue_check = now + CHECK_INTERVAL_S
         found = overdue_machines(partition, self._workers, now, owned.mostly_silent, self._stall_detector.resumed_at)
         await self._start_release(owned, found, now, self._releaser.release_overdue)
 
-    async def watch_orphans(self, now: float) -> None:
+    async def release_orphaned(self, now: float) -> None:
         """Starts the release of machines with overdue cancelled tasks in partitions without an owner.
 
         Acts only during an outage of the state service, when any running controller may release such machines.
@@ -96,7 +96,7 @@
         if (
             now < self._next_orphan_check
             or now - self._replica.synced_at < MIN_OUTAGE_S
-            or not self._permissions.is_not_stalled(now)
+            or not self._permissions.is_confirmed_since_stall(now)
         ):
             return
         if not self._reachability.outage(now):
@@ -118,7 +118,7 @@
             zone
             for zone, partition in self._replica.state.partitions.items()
             if self._membership.owned_record(zone) is None
-            and not self._permissions.superseded(zone)
+            and not self._permissions.is_owned_by_peer(zone)
             and not self._reachability.peer_responds(partition.node, now, partition.process_incarnation)
         }
 
@@ -150,9 +150,9 @@
                 machine.releasing = True
             await curio.spawn(release, owned, machines, daemon=True)
 
-    def released_unrecorded(self) -> list[str]:
+    def released_on_record(self) -> list[str]:
         """Machines that this process released and that are still on record."""
-        return self._releaser.released_unrecorded()
+        return self._releaser.released_on_record()
 
     def on_peer_load(self, node: str, unregistered_machines: dict[str, int], released_machines: list[str]) -> None:
         """Applies a peer's load message.
@@ -160,7 +160,7 @@
         `unregistered_machines` counts, by zone, workers that send heartbeats to the peer instead of their partition's
         owner; `released_machines` are names of machines that the peer released and that are still on record.
         """
-        self.unregistered_by_peer[node] = unregistered_machines
+        self.unregistered_machines_by_peer[node] = unregistered_machines
         for owned in self._owned.values():
             for name in released_machines:
                 if name in owned.partition.machines:
--- a/spurarch/coordination/scheduling/best_fit.py
+++ b/spurarch/coordination/scheduling/best_fit.py
@@ -102,7 +102,7 @@
     come first, then those with the most free slots, where fewer running tasks have to end.
     """
     candidates = sorted(
-        (capacity for capacity in capacities if capacity.allows(requirements)),
+        (capacity for capacity in capacities if capacity.satisfies_constraints(requirements)),
         key=lambda capacity: (
             requirements.image not in capacity.images,
             -capacity.task_slots(requirements, count),
--- a/spurarch/coordination/scheduling/gang_placement.py
+++ b/spurarch/coordination/scheduling/gang_placement.py
@@ -46,22 +46,22 @@
         key = job.job_id, ALL_MEMBERS
         self._round.waiting.add(key)
         waiting_since = self._round.placement_state.waiting_since(key, self._round.now)
-        attempt, members = gang.next_attempt(), gang.waiting()
+        attempt, members = gang.next_attempt(), gang.unassigned_members()
         if attempt is None or not members:
             return  # members of the previous attempt are still on their machines
-        if gang.whole and self._assign_all(job, gang, attempt):
+        if gang.all_members_present and self._assign_all(job, gang, attempt):
             return
         if gang.state is GangState.ASSIGNING:
             if self._round.now - waiting_since > ASSIGN_TIMEOUT_S:
                 self._round.result.preempt += gang.members.values()
             return
-        if gang.whole and self._reserve_machines(job, len(members), waiting_since):
+        if gang.all_members_present and self._reserve_machines(job, len(members), waiting_since):
             return
         self._return_overdue(job, gang, waiting_since)
 
     def _assign_all(self, job: JobView, gang: GangAttempt, attempt: int) -> bool:
         """Assigns all waiting members, or returns False if they don't all fit."""
-        capacities, members = self._round.capacities, gang.waiting()
+        capacities, members = self._round.capacities, gang.unassigned_members()
         machines = self._available_machines(job)
         if not all_fit(job.requirements, machines, len(members)):
             return False
@@ -110,5 +110,5 @@
         if self._round.now - waiting_since <= self._return_policy.max_wait_s():
             return
         if self._return_policy.is_stuck(waiting_since) or self._return_policy.gang_fits_elsewhere(job, gang):
-            for allocation, entry in gang.waiting():
+            for allocation, entry in gang.unassigned_members():
                 self._round.return_to_leader(allocation, entry)
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -8,7 +8,7 @@
 
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_job
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling.array_placement import ArrayPlacement
 from spurarch.coordination.scheduling.gang_placement import GangPlacement
@@ -159,7 +159,9 @@
     def _may_start(self, job_id: str) -> bool:
         """Returns whether the job is live and not in backoff."""
         backoff = self._round.partition.backoffs.get(job_id)
-        return is_live(self._round.view.state, job_id) and (backoff is None or backoff.not_before <= self._round.now)
+        return is_uncancelled_job(self._round.view.state, job_id) and (
+            backoff is None or backoff.not_before <= self._round.now
+        )
 
     def _rank(self, allocation: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
         job = self._round.view.jobs[allocation.job]
--- a/spurarch/coordination/scheduling/priority_preemption.py
+++ b/spurarch/coordination/scheduling/priority_preemption.py
@@ -28,7 +28,7 @@
         """
         if priority not in self._has_lower_priority:
             schedulable = self._round.capacities.schedulable
-            used = (used for capacity in schedulable for used in capacity.by_priority[priority + 1 :])
+            used = (used for capacity in schedulable for used in capacity.used_by_priority[priority + 1 :])
             self._has_lower_priority[priority] = any(cpus > EPSILON for cpus, *_ in used)
         return self._has_lower_priority[priority]
 
@@ -93,7 +93,9 @@
         try:
             for capacity in by_free_cpus:
                 selected = self._unbook_victims(bookings, requirements, capacity, remaining)
-                slots = capacity.task_slots(requirements, remaining) if capacity.allows(requirements) else 0
+                slots = (
+                    capacity.task_slots(requirements, remaining) if capacity.satisfies_constraints(requirements) else 0
+                )
                 if slots:
                     machines.append(capacity)
                     victims += selected
--- a/spurarch/coordination/scheduling/task_return.py
+++ b/spurarch/coordination/scheduling/task_return.py
@@ -80,7 +80,11 @@
         excluded = set(map(view.zones.index, (self._round.partition.zone, *view.unreachable_zones())))
         slots: dict[int, int] = {}
         for capacity in view.capacities.values():
-            if not capacity.schedulable or capacity.zone in excluded or not capacity.allows(requirements):
+            if (
+                not capacity.schedulable
+                or capacity.zone in excluded
+                or not capacity.satisfies_constraints(requirements)
+            ):
                 continue
             if capacity.fits(requirements):
                 count = capacity.task_slots(requirements, MAX_SLOTS_PER_MACHINE)
@@ -105,7 +109,7 @@
     def _collect_queued_cpus(self) -> dict[int, dict[int, float]]:
         view = self._round.view
         queued: dict[int, dict[int, float]] = defaultdict(lambda: defaultdict(float))
-        for allocation, job, count, _ in view.unassigned_tasks():
+        for allocation, job, count, _ in view.allocations_with_unassigned_tasks():
             zone = view.zones.index(allocation.zone)
             queued[zone][job.requirements.priority] += count * job.requirements.cpus
         return queued
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -73,7 +73,7 @@
         record = play.controllers[args[0]].replica.state.jobs.get(args[1])
         return record is not None and record.cancelled
     if kind == "heard":
-        return args[1] in play.controllers[args[0]].reachability.cancelled_by_peers
+        return args[1] in play.controllers[args[0]].reachability.reported_cancellations
     if kind == "runs-all":
         job = play.world.jobs[args[0]]
         states = [task.state for _, task in play.world.on_machines() if task.name.startswith(args[0] + "/")]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,7 +10,7 @@
 
 from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.membership.partition_assignment import assign_partitions
-from spurarch.coordination.membership.store_reachability import KnownOwner, StoreReachability
+from spurarch.coordination.membership.store_reachability import ReportedOwner, StoreReachability
 from spurarch.coordination.scheduling.best_fit import best_fit
 from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
 from spurarch.protocol import peer_messages
@@ -153,10 +153,11 @@
     reachability.on_pong("q", 118.0, 118.1, _pong("q"), 100.0)
     assert reachability.freshness_bound(100.0) == 118.0
     # Peers that cannot reach the state service pass on cancellations, too.
-    assert reachability.cancelled_by_peers == {"job-p": 119.1, "job-q": 118.1}
-    assert reachability.partitions_by_peers == {"a": KnownOwner("p", 9)}
-    reachability.discard_confirmed(118.5)  # a read of the state service covers only cancellations reported before it
-    assert reachability.cancelled_by_peers == {"job-p": 119.1}
+    assert reachability.reported_cancellations == {"job-p": 119.1, "job-q": 118.1}
+    assert reachability.reported_owners == {"a": ReportedOwner("p", 9)}
+    # A read of the state service covers only cancellations reported before it.
+    reachability.discard_synced_cancellations(118.5)
+    assert reachability.reported_cancellations == {"job-p": 119.1}
 
 
 def test_a_pong_of_one_peer_that_reaches_the_state_service_is_a_sufficient_attestation() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -190,7 +190,7 @@
     partition.apply_records(state, [str(allocation) for allocation, _ in pieces], 1.0)
     attempt = partition.attempts["job-1", 3]
     assert (attempt.phase, attempt.allocation) == (AttemptPhase.EXITED, pieces[1][0])
-    assert partition.machines["vm-3"].to_forget == {}
+    assert partition.machines["vm-3"].exits_to_forget == {}
     assert TerminalRecords(partition.state).entries(state, 0.0) == {pieces[1][0]: {3: TaskEntry(3, records.ENDED, 1)}}
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from spurarch.coordination.admission.planner import AdmissionPlanner
-from spurarch.coordination.partition.state import RELEASED_MACHINES_KEPT
+from spurarch.coordination.partition.state import MAX_RELEASED_MACHINES
 from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.scheduling.local_search import refine
 from spurarch.coordination.scheduling.placement import TaskPlacer
@@ -90,7 +90,7 @@
     load = peer_messages.Load("node-0", 1.0, False, [("zone", MACHINES)] * 20, names, 0)
     for message in (pong, load):
         assert len(peer_messages.encode(message)) <= frames.MAX_FRAME
-    assert min(RELEASED_MACHINES_KEPT, sockets.BACKLOG) >= MACHINES
+    assert min(MAX_RELEASED_MACHINES, sockets.BACKLOG) >= MACHINES
 
 
 def test_a_new_owner_reads_all_records_at_a_bounded_cost() -> None:
--- a/tests/test_releasing.py
+++ b/tests/test_releasing.py
@@ -125,8 +125,8 @@
     scale_in = _scale_in(
         replica=SimpleNamespace(state=fleet.state), owned={"a": SimpleNamespace(partition=fleet.partition)}
     )
-    scale_in._releaser.remember_released({"vm-1": "a", "vm-7": "a"})
-    released = scale_in.released_unrecorded()
+    scale_in._releaser.add_released_machines({"vm-1": "a", "vm-7": "a"})
+    released = scale_in.released_on_record()
     assert released == ["vm-1"]  # the record of vm-7 is gone
     scale_in.on_peer_load("n1", {}, released)
     assert fleet.partition.machines["vm-1"].state is MachineState.RELEASED
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -316,8 +316,8 @@
         (r.tasks, r.cpus, len(r.images)) for r in one_by_one
     )
     bookings.undo()
-    assert [(r.free_cpus, r.tasks, r.by_priority) for r in together] == [
-        (r.free_cpus, r.tasks, r.by_priority) for r in rooms()
+    assert [(r.free_cpus, r.tasks, r.used_by_priority) for r in together] == [
+        (r.free_cpus, r.tasks, r.used_by_priority) for r in rooms()
     ]
 
 
--- a/tests/test_stalls_and_silent_machines.py
+++ b/tests/test_stalls_and_silent_machines.py
@@ -55,7 +55,7 @@
     machine = fleet.partition.machines["vm-0"]
     fleet.partition.stop_job("job-0", 0.0)
     heartbeat = fleet.build_heartbeat(0, 3, fleet.partition.state.fencing_token(machine))
-    assert fleet.partition.on_heartbeat(heartbeat, 2.0, commanding=False) == []
+    assert fleet.partition.on_heartbeat(heartbeat, 2.0, may_command=False) == []
     heartbeat = fleet.build_heartbeat(0, 4, fleet.partition.state.fencing_token(machine))
     assert fleet.partition.on_heartbeat(heartbeat, 3.0)
 
--- a/tests/test_team_ledger.py
+++ b/tests/test_team_ledger.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from spurarch.coordination.admission.ledger_audit import ENTRIES_AT_ONCE, PASS_INTERVAL_S, LedgerAudit
+from spurarch.coordination.admission.ledger_audit import ENTRIES_PER_STEP, PASS_INTERVAL_S, LedgerAudit
 from spurarch.coordination.admission.planner import AdmissionPlanner
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import NO_CHARGE, Charge, QuotaLedger
@@ -36,10 +36,10 @@
         Charge.of(random.choice([0.1, 0.3, 0.7, 1.1, 3.3]), random.choice([0.0, 0.1, 0.25])) for _ in range(500_000)
     ]
     for size in sizes:
-        quota_ledger.adjust(0, size)
+        quota_ledger.add_recorded(0, size)
     random.shuffle(sizes)
     for size in sizes:
-        quota_ledger.adjust(0, NO_CHARGE - size)
+        quota_ledger.add_recorded(0, NO_CHARGE - size)
     assert quota_ledger.recorded(0) == NO_CHARGE
 
 
@@ -64,14 +64,14 @@
 
 def test_a_quota_lowered_below_the_charges_admits_nothing_and_is_no_violation() -> None:
     quota_ledger = ledger(quota_cpus=4.0)
-    quota_ledger.adjust(0, Charge.of(6.0, 0.0))
-    quota_ledger.check_quotas(whole=False)  # while the records are first read
+    quota_ledger.add_recorded(0, Charge.of(6.0, 0.0))
+    quota_ledger.check_quotas(records_complete=False)  # while the records are first read
     assert quota_ledger.tasks_allowed(0, ONE, 5) == 0
-    quota_ledger.adjust(0, NO_CHARGE - ONE)
-    quota_ledger.check_quotas(whole=True)
+    quota_ledger.add_recorded(0, NO_CHARGE - ONE)
+    quota_ledger.check_quotas(records_complete=True)
     assert quota_ledger.violations.count == 0
-    quota_ledger.adjust(0, ONE)
-    quota_ledger.check_quotas(whole=True)
+    quota_ledger.add_recorded(0, ONE)
+    quota_ledger.check_quotas(records_complete=True)
     assert quota_ledger.violations.count == 1
 
 
@@ -127,20 +127,20 @@
             held += reservation.charge.cpus // ONE.cpus
             revision += 1
             if what == "commit":
-                books.adjust(0, reservation.charge)
+                books.add_recorded(0, reservation.charge)
                 books.release(reservation)
             else:  # committed, but its response was lost: a retry found a conflict at this revision
                 reservation.resolved_by_revision = revision
                 lost.append(reservation)
         elif what == "show":
             for reservation in lost:
-                books.adjust(0, reservation.charge)
+                books.add_recorded(0, reservation.charge)
             lost.clear()
             books.release_resolved(revision, 1)
         elif what == "end" and books.recorded(0).cpus:
-            books.adjust(0, NO_CHARGE - ONE)
+            books.add_recorded(0, NO_CHARGE - ONE)
             held -= 1
-        books.check_quotas(whole=True)
+        books.check_quotas(records_complete=True)
         assert held <= 5
     assert books.violations.count == 0
 
@@ -165,8 +165,8 @@
     assert view.ledger.violations.count == 0
     allocation = AllocationKey("a", "job-1", 0)
     # Removes the charge of the allocation, as an earlier version did when a new job arrived.
-    view._book(allocation, view.jobs["job-1"], view._booked.pop(allocation), -1)
-    view.ledger.adjust(0, Charge.of(-3.0, 0.0))
+    view._book(allocation, view.jobs["job-1"], view._booked_totals.pop(allocation), -1)
+    view.ledger.add_recorded(0, Charge.of(-3.0, 0.0))
     audit.check_all()
     assert "job charge differs from its records job=job-1 charged=0 recorded=3" in view.ledger.violations.messages[0]
     assert view.ledger.recorded(0) == Charge.of(9.0, 0.0), "booked anew"
@@ -178,7 +178,7 @@
 
 def test_a_total_that_is_not_the_sum_of_its_jobs_is_found() -> None:
     fleet = fleet_of(2)
-    fleet.view.ledger.adjust(0, NO_CHARGE - ONE)
+    fleet.view.ledger.add_recorded(0, NO_CHARGE - ONE)
     LedgerAudit(fleet.view).check_all()
     assert fleet.view.ledger.violations.count == 1
     assert fleet.view.ledger.recorded(0) == Charge.of(6.0, 0.0)
@@ -190,11 +190,11 @@
         fleet = fleet_of(jobs)
         audit, now, costs = LedgerAudit(fleet.view), 100.0, []
         while not audit.passes:
-            costs.append(count_calls(lambda a=audit, n=now: a.check_some(n)))  # type: ignore[misc]
+            costs.append(count_calls(lambda a=audit, n=now: a.check_step(n)))  # type: ignore[misc]
             now += 0.1
-        assert len(costs) >= jobs * 5 // ENTRIES_AT_ONCE
+        assert len(costs) >= jobs * 5 // ENTRIES_PER_STEP
         most.append(max(costs[:-1]))
-        assert count_calls(lambda a=audit, n=100.0 + PASS_INTERVAL_S - 1: a.check_some(n)) < 5  # type: ignore[misc]
+        assert count_calls(lambda a=audit, n=100.0 + PASS_INTERVAL_S - 1: a.check_step(n)) < 5  # type: ignore[misc]
     assert most[1] < 1.5 * most[0]
 
 
