--- a/spurarch/coordination/admission/array_planner.py
+++ b/spurarch/coordination/admission/array_planner.py
@@ -10,7 +10,7 @@
 from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.scheduling.best_fit import fill
+from spurarch.coordination.scheduling.best_fit import book_by_best_fit
 
 MAX_PREEMPTING_TASKS = 50  # tasks of one job that may preempt other work in one round
 
@@ -48,7 +48,9 @@
         state = self._state
         if state.no_free_capacity.covers(job.requirements, only_zone):
             return 0
-        booked = fill(job.requirements, in_zone_or_all(state.with_free_cpus, only_zone), count, state.bookings)
+        booked = book_by_best_fit(
+            job.requirements, in_zone_or_all(state.with_free_cpus, only_zone), count, state.bookings
+        )
         for capacity, number in booked:
             assignment.add(capacity.zone, number)
         self._cancel_small_assignments(job, booked, assignment, count)
@@ -109,7 +111,7 @@
         state = self._state
         if state.no_booting_capacity.covers(job.requirements, only_zone):
             return 0
-        booked = fill(job.requirements, in_zone_or_all(state.booting, only_zone), count, state.bookings)
+        booked = book_by_best_fit(job.requirements, in_zone_or_all(state.booting, only_zone), count, state.bookings)
         assigned = 0
         for capacity, number in booked:
             assignment.add(capacity.zone, number)
--- a/spurarch/coordination/admission/gang_planner.py
+++ b/spurarch/coordination/admission/gang_planner.py
@@ -8,7 +8,7 @@
 from spurarch.coordination.admission.planning_state import PlanningState
 from spurarch.coordination.fleet.capacity import MachineCapacity, Requirements
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.scheduling.best_fit import all_fit, fill
+from spurarch.coordination.scheduling.best_fit import all_fit, book_by_best_fit
 
 
 class _FailedGang(NamedTuple):
@@ -53,7 +53,7 @@
                     -zone,
                 ),
             )
-            fill(requirements, state.with_free_cpus[zone], count, state.bookings)
+            book_by_best_fit(requirements, state.with_free_cpus[zone], count, state.bookings)
             return zone
         if used_zones:
             return used_zones[0]  # other members of the gang are already admitted there
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -1,5 +1,9 @@
 """Plans a round of admission: which tasks of which job go to which partition. `AdmissionWriter` commits the plan.
 
+The plan is the coarse tier of the paper that the scheduler is based on, `pMACH: Power and Migration Aware Container
+scHeduling` (section IV-A): the leader distributes jobs over the partitions, and each partition owner places its tasks
+on machines.
+
 Admission enforces the quotas: a task is charged to its team from its admission until its end is recorded. It also
 enforces each job's allowed zones and limit of tasks per zone, and assigns a gang to one zone. Partition owners need no
 view of the whole fleet for these rules.
@@ -28,11 +32,10 @@
 class AdmissionPlanner:
     """Plans one round of admission from the fleet view. `now` is in Unix seconds.
 
-    This is the coarse tier of the paper (section IV-A): the leader distributes jobs over the partitions, and each
-    partition owner places its tasks on machines. A zone without free capacity is assigned tasks ahead of time: as many
-    as it is expected to free capacity for within `admit_ahead_s`, and as many as fit on booting machines. Its partition
-    owner starts them as soon as capacity is free, many with one record change. Otherwise, each task that ends would
-    need an admission of another one, just when record changes are scarcest.
+    A zone without free capacity is assigned tasks ahead of time: as many as it is expected to free capacity for within
+    `admit_ahead_s`, and as many as fit on booting machines. Its partition owner starts them as soon as capacity is
+    free, many with one record change. Otherwise, each task that ends would need an admission of another one, just when
+    record changes are scarcest.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
             known_not_to_fit = state.no_free_capacity.covers(job.requirements, zone)
             unplaced = unassigned
             if not known_not_to_fit:
-                unplaced -= state.fill_free(job.requirements, zone, unassigned)
+                unplaced -= state.book_on_free_machines(job.requirements, zone, unassigned)
             if not unplaced:
                 continue
             if job.gang:
@@ -91,7 +94,7 @@
                 state.no_free_capacity.add(job.requirements, zone)
             _record_shortage(plan, job, unplaced - often_tried)
             if state.booting[zone] and not state.no_booting_capacity.covers(job.requirements, zone):
-                unplaced -= state.fill_booting(job.requirements, zone, unplaced)
+                unplaced -= state.book_on_booting_machines(job.requirements, zone, unplaced)
                 if unplaced:
                     state.no_booting_capacity.add(job.requirements, zone)
             state.queued_cpus[zone] += unplaced * job.requirements.cpus
--- a/spurarch/coordination/admission/planning_state.py
+++ b/spurarch/coordination/admission/planning_state.py
@@ -9,7 +9,7 @@
 from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements, TentativeBookings
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.scheduling.best_fit import fill
+from spurarch.coordination.scheduling.best_fit import book_by_best_fit
 
 
 class PlanningState:
@@ -61,13 +61,15 @@
             for zone, capacities in capacities_by_zone.items():
                 capacities_by_zone[zone] = [capacity for capacity in capacities if capacity.free_cpus > EPSILON]
 
-    def fill_free(self, requirements: Requirements, zone: int, count: int) -> int:
+    def book_on_free_machines(self, requirements: Requirements, zone: int, count: int) -> int:
         """Books up to `count` equal tasks on free capacity of a zone; returns how many it booked."""
-        return sum(booked for _, booked in fill(requirements, self.with_free_cpus[zone], count, self.bookings))
+        return sum(
+            booked for _, booked in book_by_best_fit(requirements, self.with_free_cpus[zone], count, self.bookings)
+        )
 
-    def fill_booting(self, requirements: Requirements, zone: int, count: int) -> int:
+    def book_on_booting_machines(self, requirements: Requirements, zone: int, count: int) -> int:
         """Books up to `count` equal tasks on booting machines of a zone; returns how many it booked."""
-        return sum(booked for _, booked in fill(requirements, self.booting[zone], count, self.bookings))
+        return sum(booked for _, booked in book_by_best_fit(requirements, self.booting[zone], count, self.bookings))
 
     def zones_for(self, requirements: Requirements) -> set[int]:
         """Returns the zones with a machine that could hold the task if it were empty."""
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -134,19 +134,19 @@
 
         partition, context = owned.partition, self._context
         result = refine(partition, context.view, context.tuning, now, self._random, self._budget().spent)
-        if result.empty is not None:
-            log.info("draining machine for consolidation machine=%s", result.empty)
-            partition.machines[result.empty].draining = True
+        if result.machine_to_drain is not None:
+            log.info("draining machine for consolidation machine=%s", result.machine_to_drain)
+            partition.machines[result.machine_to_drain].draining = True
         for attempt, target in result.moves:
             log.info(
                 "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
             )
-            owned.placer.move(attempt.key, target, now + MIGRATION_RESERVATION_S)
+            owned.placer.reserve_move_target(attempt.key, target, now + MIGRATION_RESERVATION_S)
             partition.request_stop(attempt, self._grace_s(attempt))
         if result.search is not None and result.search.moves:
             log.info(
                 "placement search improved partition=%s cost_before=%.4f cost_after=%.4f",
                 partition.zone,
-                result.search.before,
-                result.search.after,
+                result.search.cost_before,
+                result.search.cost_after,
             )
--- a/spurarch/coordination/scheduling/array_placement.py
+++ b/spurarch/coordination/scheduling/array_placement.py
@@ -7,7 +7,7 @@
 
 from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.scheduling.best_fit import fill, machine_to_reserve
+from spurarch.coordination.scheduling.best_fit import book_by_best_fit, machine_to_reserve
 from spurarch.coordination.scheduling.guarantee_preemption import GuaranteePreemption
 from spurarch.coordination.scheduling.placement_round import PlacementRound
 from spurarch.coordination.scheduling.priority_preemption import PriorityPreemption
@@ -65,7 +65,9 @@
     ) -> list[TaskEntry]:
         """Assigns tasks by best fit and returns those that did not fit."""
         entries = iter(waiting)
-        for capacity, count in fill(job.requirements, machines, len(waiting), self._round.capacities.bookings):
+        for capacity, count in book_by_best_fit(
+            job.requirements, machines, len(waiting), self._round.capacities.bookings
+        ):
             for entry in islice(entries, count):
                 self._round.assign(allocation, entry, capacity)
         return list(entries)
--- a/spurarch/coordination/scheduling/best_fit.py
+++ b/spurarch/coordination/scheduling/best_fit.py
@@ -3,7 +3,8 @@
 Best fit chooses the fullest machine that fits, with two refinements. Machines that have the image come first, because
 fetching an image costs more than any difference in fullness. Among machines of equal fullness the smaller one comes
 first, so that large blocks of free capacity remain for large tasks. Bookings may use all of a machine: the 70% cap in
-the paper that this rule is based on (section IV-A) applies to measured use.
+the paper that this rule is based on, `pMACH: Power and Migration Aware Container scHeduling` (section IV-A), applies to
+measured use.
 
 Equal tasks are placed as a group. A machine that received one of them is fuller than before and stays the best fit
 until it is full, so sorting the machines once gives the same result as a search for each task.
@@ -52,7 +53,7 @@
     return min(fitting(requirements, capacities), key=_best_fit_key(requirements), default=None)
 
 
-def fill(
+def book_by_best_fit(
     requirements: Requirements, capacities: Iterable[MachineCapacity], count: int, bookings: TentativeBookings
 ) -> list[tuple[MachineCapacity, int]]:
     """Books up to `count` equal tasks by best fit and returns each machine with its number of booked tasks."""
--- a/spurarch/coordination/scheduling/gang_placement.py
+++ b/spurarch/coordination/scheduling/gang_placement.py
@@ -7,9 +7,9 @@
 from spurarch.coordination.fleet.capacity import MachineCapacity
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.gang import GangAttempt, GangState
-from spurarch.coordination.scheduling.best_fit import all_fit, fill, machines_to_reserve
-from spurarch.coordination.scheduling.placement_memory import GangReservation
+from spurarch.coordination.scheduling.best_fit import all_fit, book_by_best_fit, machines_to_reserve
 from spurarch.coordination.scheduling.placement_round import PlacementRound
+from spurarch.coordination.scheduling.placement_state import GangReservation
 from spurarch.coordination.scheduling.preemption import PREEMPTION_RESERVATION_S
 from spurarch.coordination.scheduling.priority_preemption import PriorityPreemption
 from spurarch.coordination.scheduling.task_return import ReturnPolicy
@@ -66,7 +66,7 @@
         if not all_fit(job.requirements, machines, len(members)):
             return False
         unassigned = iter(members)
-        for capacity, count in fill(job.requirements, machines, len(members), capacities.bookings):
+        for capacity, count in book_by_best_fit(job.requirements, machines, len(members), capacities.bookings):
             for allocation, entry in islice(unassigned, count):
                 self._round.assign(allocation, entry, capacity, attempt)
         capacities.drop_full_machines()
--- a/spurarch/coordination/scheduling/local_search.py
+++ b/spurarch/coordination/scheduling/local_search.py
@@ -12,7 +12,7 @@
 from spurarch.coordination.partition.machine import AttemptPhase, MachineState, TaskAttempt
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling.best_fit import best_fit
-from spurarch.coordination.scheduling.tabu_search import Replica, Search, SearchResult, Weights
+from spurarch.coordination.scheduling.tabu_search import PlacedTask, Search, SearchResult, Weights
 from spurarch.settings import Tuning
 
 
@@ -22,12 +22,12 @@
 
     Attributes:
         moves: Attempts to migrate, each with the name of its target machine.
-        empty: Name of the machine to drain, or None.
+        machine_to_drain: Name of the machine to drain, or None.
         search: Result of the Tabu search, or None if it did not run.
     """
 
     moves: list[tuple[TaskAttempt, str]] = field(default_factory=list)
-    empty: str | None = None
+    machine_to_drain: str | None = None
     search: SearchResult | None = None
 
 
@@ -66,17 +66,19 @@
     refinement = Refinement()
     machine_names, capacities, tasks, attempts = _search_tables(partition, view, tuning)
     if tuning.consolidation_cap > 0 and not partition.unassigned:
-        refinement.empty = _machine_to_drain(partition, machine_names, capacities, tasks, tuning, now)
+        refinement.machine_to_drain = _machine_to_drain(partition, machine_names, capacities, tasks, tuning, now)
     draining_machines = frozenset(
-        i for i, name in enumerate(machine_names) if partition.machines[name].draining or name == refinement.empty
+        i
+        for i, name in enumerate(machine_names)
+        if partition.machines[name].draining or name == refinement.machine_to_drain
     )
-    if refinement.empty is not None:
+    if refinement.machine_to_drain is not None:
         refinement.moves += _drain_moves(
             machine_names,
             capacities,
             tasks,
             attempts,
-            machine_names.index(refinement.empty),
+            machine_names.index(refinement.machine_to_drain),
             draining_machines,
             tuning,
         )
@@ -98,7 +100,7 @@
 
 def _search_tables(
     partition: Partition, view: FleetView, tuning: Tuning
-) -> tuple[list[str], list[MachineCapacity], list[Replica], list[TaskAttempt]]:
+) -> tuple[list[str], list[MachineCapacity], list[PlacedTask], list[TaskAttempt]]:
     """Returns machine names, machine capacities, tasks and attempts of the partition.
 
     Names and capacities have the same indices, and so have tasks and attempts. The capacities are copies.
@@ -117,14 +119,14 @@
             capacities.append(copy)
     machine_indices = {name: i for i, name in enumerate(machine_names)}
     movable = movable_replicas(partition, view, tuning)
-    tasks: list[Replica] = []
+    tasks: list[PlacedTask] = []
     attempts: list[TaskAttempt] = []
     for key, attempt in partition.attempts.items():
         job = view.jobs.get(attempt.allocation.job)
         if job is not None and attempt.machine in machine_indices and attempt.phase < AttemptPhase.EXITED:
             index = machine_indices[attempt.machine]
             tasks.append(
-                Replica(len(attempts), job.requirements, index, index, key in movable, job.service or job.gang)
+                PlacedTask(len(attempts), job.requirements, index, index, key in movable, job.service or job.gang)
             )
             attempts.append(attempt)
     for i, name in enumerate(machine_names):
@@ -137,7 +139,7 @@
     partition: Partition,
     machine_names: list[str],
     capacities: list[MachineCapacity],
-    tasks: list[Replica],
+    tasks: list[PlacedTask],
     tuning: Tuning,
     now: float,
 ) -> str | None:
@@ -149,9 +151,9 @@
     schedulable = [i for i, name in enumerate(machine_names) if partition.machines[name].is_schedulable(now)]
     booked_cpus = sum(capacities[i].cpus - capacities[i].free_cpus for i in schedulable)
     total_cpus = sum(capacities[i].cpus for i in schedulable)
-    tasks_by_machine: dict[int, list[Replica]] = {}
+    tasks_by_machine: dict[int, list[PlacedTask]] = {}
     for task in tasks:
-        tasks_by_machine.setdefault(task.at, []).append(task)
+        tasks_by_machine.setdefault(task.machine, []).append(task)
     for i in sorted(schedulable, key=lambda i: capacities[i].cpus - capacities[i].free_cpus):
         machine_tasks = tasks_by_machine.get(i, [])
         if not machine_tasks or booked_cpus > tuning.consolidation_cap * (total_cpus - capacities[i].cpus):
@@ -164,7 +166,7 @@
 def _drain_moves(
     machine_names: list[str],
     capacities: list[MachineCapacity],
-    tasks: list[Replica],
+    tasks: list[PlacedTask],
     attempts: list[TaskAttempt],
     source: int,
     draining_machines: frozenset[int],
@@ -173,7 +175,7 @@
     """Returns moves of the replicas on a machine that is drained; its other tasks run to completion there."""
     moves: list[tuple[TaskAttempt, str]] = []
     for task in tasks:
-        if task.at != source or not task.movable or len(moves) >= tuning.moves_per_round:
+        if task.machine != source or not task.movable or len(moves) >= tuning.moves_per_round:
             continue
         targets = [
             capacity
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -14,13 +14,13 @@
 from spurarch.coordination.scheduling.gang_placement import GangPlacement
 from spurarch.coordination.scheduling.guarantee_preemption import GuaranteePreemption
 from spurarch.coordination.scheduling.moved_replicas import MovedReplicas
-from spurarch.coordination.scheduling.placement_memory import MoveTarget, PlacementState, TaskKey
 from spurarch.coordination.scheduling.placement_round import (
     AllocationEntries,
     PlacementResult,
     PlacementRound,
     PlacementSettings,
 )
+from spurarch.coordination.scheduling.placement_state import MoveTarget, PlacementState, TaskKey
 from spurarch.coordination.scheduling.preemption import Preemption
 from spurarch.coordination.scheduling.priority_preemption import PriorityPreemption
 from spurarch.coordination.scheduling.service_placement import ServicePlacement
@@ -42,7 +42,7 @@
         self._settings = PlacementSettings(longest_wait_s, guarantee_wait_s, max_silence_s)
         self._placement_state = PlacementState()
 
-    def move(self, key: TaskKey, machine: str, expires_at: float) -> None:
+    def reserve_move_target(self, key: TaskKey, machine: str, expires_at: float) -> None:
         """Reserves capacity for a replica on its target machine until the given time in monotonic seconds."""
         self._placement_state.move_targets[key] = MoveTarget(machine, expires_at)
 
--- a/spurarch/coordination/scheduling/placement_round.py
+++ b/spurarch/coordination/scheduling/placement_round.py
@@ -9,7 +9,7 @@
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.machine import TaskAttempt
 from spurarch.coordination.partition.partition import Partition
-from spurarch.coordination.scheduling.placement_memory import PlacementState, TaskKey
+from spurarch.coordination.scheduling.placement_state import PlacementState, TaskKey
 from spurarch.coordination.scheduling.round_capacities import RoundCapacities
 from spurarch.storage import records
 from spurarch.storage.records import AllocationKey, TaskEntry
--- a/spurarch/coordination/scheduling/service_placement.py
+++ b/spurarch/coordination/scheduling/service_placement.py
@@ -6,8 +6,8 @@
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.scheduling.best_fit import best_fit
 from spurarch.coordination.scheduling.moved_replicas import MovedReplicas
-from spurarch.coordination.scheduling.placement_memory import TaskKey
 from spurarch.coordination.scheduling.placement_round import PlacementRound
+from spurarch.coordination.scheduling.placement_state import TaskKey
 from spurarch.coordination.scheduling.priority_preemption import PriorityPreemption
 from spurarch.coordination.scheduling.task_return import ReturnPolicy
 from spurarch.storage.records import AllocationKey, TaskEntry
--- a/spurarch/coordination/scheduling/tabu_search.py
+++ b/spurarch/coordination/scheduling/tabu_search.py
@@ -1,7 +1,7 @@
 """Tabu search over moves of service replicas within one partition.
 
-This is the second tier of the paper that the scheduler is based on (section IV-C). The search minimises the objective
-of the paper's Eq. 4, alpha*EC + beta*IB + gamma*DV:
+This is the second tier of the paper that the scheduler is based on, `pMACH: Power and Migration Aware Container
+scHeduling` (section IV-C). The search minimises the objective of the paper's Eq. 4, alpha*EC + beta*IB + gamma*DV:
 
 - EC, the edge cut, is zero here, since traffic between tasks is not recorded.
 - IB, the imbalance, is the mean relative deviation of each machine's booked CPUs, GPUs and memory from their averages
@@ -31,13 +31,13 @@
 
 
 @dataclass(slots=True)
-class Replica:
+class PlacedTask:
     """A task of the partition. Tasks that are not movable only count as load."""
 
     task: int  # index of the task in the caller's tables
     requirements: Requirements
-    at: int  # index of its machine in the current placement
-    home: int  # index of its machine before the search
+    machine: int  # index of its machine in the current placement
+    original_machine: int  # index of its machine before the search
     movable: bool
     long_running: bool = True  # service replica or gang member: draining a machine can't rely on its end
 
@@ -56,8 +56,8 @@
     """Moves to make, the cost before the search, and that of the best placement found."""
 
     moves: list[Move]
-    before: float
-    after: float
+    cost_before: float
+    cost_after: float
     iterations: int
 
 
@@ -72,25 +72,25 @@
     def __init__(
         self,
         capacities: list[MachineCapacity],
-        tasks: list[Replica],
+        tasks: list[PlacedTask],
         draining_machines: frozenset[int],
         weights: Weights,
     ) -> None:
         self.capacities, self.tasks, self.weights = capacities, tasks, weights
         self._task_counts = [0] * len(capacities)
         for task in tasks:
-            self._task_counts[task.at] += 1
+            self._task_counts[task.machine] += 1
         self._draining_machines = draining_machines
         self._moved_tasks = 0
 
-    def _counted(self) -> list[int]:
+    def _counted_machines(self) -> list[int]:
         """Returns the machines that have tasks and are not being drained."""
         return [i for i, count in enumerate(self._task_counts) if count > 0 and i not in self._draining_machines]
 
     def imbalance(self) -> float:
         """Returns IB, averaged over the three resources. A resource that no task books counts as balanced."""
         total = 0.0
-        counted = self._counted()
+        counted = self._counted_machines()
         if not counted:
             return 0.0
         for booked in BOOKED_RESOURCES:
@@ -109,14 +109,14 @@
         return [sum(booked(self.capacities[i]) for i in counted) / len(counted) for booked in BOOKED_RESOURCES]
 
     def _cost_after(
-        self, task: Replica, target: int, current_cost: float, means: list[float], counted_machines: int
+        self, task: PlacedTask, target: int, current_cost: float, means: list[float], counted_machines: int
     ) -> float:
         """Returns the cost if a task moved to the target, derived from the current cost where possible."""
-        source = task.at
+        source = task.machine
         if source in self._draining_machines or self._task_counts[source] == 1:
-            self._shift(task, target)
+            self._apply_move(task, target)
             cost = self.cost()
-            self._shift(task, source)
+            self._apply_move(task, source)
             return cost
         requirements, deviation_change = task.requirements, 0.0
         for booked, mean, amount in zip(
@@ -127,20 +127,20 @@
                 deviation_change += (
                     abs(at_source - amount) - abs(at_source) + abs(at_target + amount) - abs(at_target)
                 ) / mean
-        moved_change = (target != task.home) - (source != task.home)
+        moved_change = (target != task.original_machine) - (source != task.original_machine)
         return (
             current_cost
             + self.weights.imbalance * deviation_change / (counted_machines * 3)
             + self.weights.move * moved_change / len(self.tasks)
         )
 
-    def _shift(self, task: Replica, target: int) -> None:
-        self.capacities[task.at].unbook(task.requirements)
+    def _apply_move(self, task: PlacedTask, target: int) -> None:
+        self.capacities[task.machine].unbook(task.requirements)
         self.capacities[target].book(task.requirements)
-        self._task_counts[task.at] -= 1
+        self._task_counts[task.machine] -= 1
         self._task_counts[target] += 1
-        self._moved_tasks += (target != task.home) - (task.at != task.home)
-        task.at = target
+        self._moved_tasks += (target != task.original_machine) - (task.machine != task.original_machine)
+        task.machine = target
 
     def run(
         self,
@@ -158,7 +158,7 @@
         `stall_limit` steps without an improvement, or when out of time.
         """
         initial_cost = best_cost = self.cost()
-        best_machines = [t.at for t in self.tasks]
+        best_machines = [t.machine for t in self.tasks]
         tabu_until: dict[tuple[int, int], int] = {}
         stalled_steps = step = 0
         while step < iterations and stalled_steps < stall_limit and not out_of_time():
@@ -166,17 +166,17 @@
             if choice is None:
                 break
             task, target, cost = choice
-            tabu_until[task.task, task.at] = step + tenure
-            self._shift(task, target)
+            tabu_until[task.task, task.machine] = step + tenure
+            self._apply_move(task, target)
             stalled_steps += 1
             step += 1
             if cost < best_cost - 1e-9:
                 best_cost, stalled_steps = cost, 0
-                best_machines = [t.at for t in self.tasks]
+                best_machines = [t.machine for t in self.tasks]
         moves = [
-            Move(t.task, t.home, machine)
+            Move(t.task, t.original_machine, machine)
             for t, machine in zip(self.tasks, best_machines, strict=True)
-            if machine != t.home
+            if machine != t.original_machine
         ]
         if initial_cost - best_cost < margin:
             moves = []
@@ -190,25 +190,25 @@
         best_cost: float,
         max_moves: int,
         out_of_time: Callable[[], bool],
-    ) -> tuple[Replica, int, float] | None:
+    ) -> tuple[PlacedTask, int, float] | None:
         """Returns the cheapest allowed neighbour as task, target machine and cost; None if there is none.
 
         A neighbour is allowed if it is not tabu or costs less than the best placement found so far.
         """
-        chosen: tuple[Replica, int, float] | None = None
+        chosen: tuple[PlacedTask, int, float] | None = None
         order = [t for t in self.tasks if t.movable]
         random.shuffle(order)
-        counted, current_cost = self._counted(), self.cost()
+        counted, current_cost = self._counted_machines(), self.cost()
         means = self._means(counted) if counted else []
         for task in order:
             if out_of_time():
                 break
-            if self._moved_tasks >= max_moves and task.at == task.home:
+            if self._moved_tasks >= max_moves and task.machine == task.original_machine:
                 continue
             for target in counted:
                 capacity = self.capacities[target]
                 if (
-                    target == task.at
+                    target == task.machine
                     or not capacity.fits(task.requirements)
                     or task.requirements.image not in capacity.images
                 ):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -12,7 +12,7 @@
 from spurarch.coordination.membership.partition_assignment import assign_partitions
 from spurarch.coordination.membership.store_reachability import ReportedOwner, StoreReachability
 from spurarch.coordination.scheduling.best_fit import best_fit
-from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
+from spurarch.coordination.scheduling.tabu_search import PlacedTask, Search, Weights
 from spurarch.protocol import peer_messages
 from spurarch.storage.rate_limits import TokenBucket, Urgency
 from spurarch.storage.records import MemberRecord, PartitionRecord
@@ -60,7 +60,7 @@
         spot = capacities[at % machines]
         if spot.fits(wanted):
             spot.book(wanted)
-            tasks.append(Replica(task, wanted, at % machines, at % machines, True))
+            tasks.append(PlacedTask(task, wanted, at % machines, at % machines, True))
     return Search(capacities, tasks, frozenset(), WEIGHTS)
 
 
@@ -68,19 +68,19 @@
 @given(st.lists(st.tuples(st.integers(1, 6), st.integers(0, 5)), max_size=14), st.integers(2, 6), st.integers(0, 99))
 def test_tabu_search_keeps_its_promises(data: list[tuple[int, int]], machines: int, seed: int) -> None:
     search = search_of(data, machines)
-    held = {t.at for t in search.tasks}
+    held = {t.machine for t in search.tasks}
     before = search.cost()
     result = search.run(Random(seed), 40, 10, 5, 3, 0.01, lambda: False)
-    assert result.before == before
-    assert result.after <= before + 1e-9
+    assert result.cost_before == before
+    assert result.cost_after <= before + 1e-9
     assert len(result.moves) <= 3
     assert all(move.target in held for move in result.moves)  # never onto an empty machine
     if result.moves:
-        assert result.before - result.after >= 0.01
+        assert result.cost_before - result.cost_after >= 0.01
     booked = [0.0] * machines
     moved = {m.task: m.target for m in result.moves}
     for task in search.tasks:
-        booked[moved.get(task.task, task.home)] += task.requirements.cpus
+        booked[moved.get(task.task, task.original_machine)] += task.requirements.cpus
     assert all(b <= 16 for b in booked)
 
 
@@ -91,12 +91,12 @@
     for task, (cpus, at) in enumerate([(2, 0), (1, 0), (1, 1)]):
         wanted = Requirements(cpus, 0.0, cpus, None, True, 0)
         capacities[at].book(wanted)
-        tasks.append(Replica(task, wanted, at, at, True))
+        tasks.append(PlacedTask(task, wanted, at, at, True))
     search = Search(capacities, tasks, frozenset(), WEIGHTS)
     assert abs(search.imbalance() - (0.5 + 0.5 + 0.5 + 0.5) / (2 * 3)) < 1e-9
     result = search.run(Random(1), 20, 5, 3, 3, 0.0, lambda: False)
     assert [(m.task, m.source, m.target) for m in result.moves] == [(1, 0, 1)]
-    assert abs(result.after - 0.254 / 3) < 1e-9  # balanced, with one of three replicas moved
+    assert abs(result.cost_after - 0.254 / 3) < 1e-9  # balanced, with one of three replicas moved
 
 
 def test_an_exhausted_time_budget_stops_the_search() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,9 +22,9 @@
 from spurarch.coordination.partition.terminal_records import TerminalRecords
 from spurarch.coordination.rate_sharing import rate_shares
 from spurarch.coordination.scheduling import best_fit as best_fit_module
-from spurarch.coordination.scheduling.best_fit import best_fit, fill, fitting
+from spurarch.coordination.scheduling.best_fit import best_fit, book_by_best_fit, fitting
 from spurarch.coordination.scheduling.placement import TaskPlacer
-from spurarch.coordination.scheduling.tabu_search import Replica, Search, Weights
+from spurarch.coordination.scheduling.tabu_search import PlacedTask, Search, Weights
 from spurarch.protocol import wire
 from spurarch.settings import StateLimits, Team
 from spurarch.storage import records
@@ -310,7 +310,7 @@
         if found is None:
             break
         found.book(requirements)
-    placed = sum(number for _, number in fill(requirements, together, count, bookings))
+    placed = sum(number for _, number in book_by_best_fit(requirements, together, count, bookings))
     assert placed == sum(r.tasks for r in one_by_one)
     assert sorted((r.tasks, r.cpus, len(r.images)) for r in together) == sorted(
         (r.tasks, r.cpus, len(r.images)) for r in one_by_one
@@ -329,14 +329,14 @@
     for index, (cpus, at) in enumerate(data):
         requirements = Requirements(float(cpus), 0.0, cpus * 2.0, None, False, 0)
         capacities[at].book(requirements)
-        tasks.append(Replica(index, requirements, at, at, True))
+        tasks.append(PlacedTask(index, requirements, at, at, True))
     search = Search(capacities, tasks, frozenset(), Weights(0.234, 0.512, 0.254))
     task = tasks[0]
-    counted = search._counted()
-    if task.at == to or to not in counted:
+    counted = search._counted_machines()
+    if task.machine == to or to not in counted:
         return
     judged = search._cost_after(task, to, search.cost(), search._means(counted), len(counted))
-    search._shift(task, to)
+    search._apply_move(task, to)
     assert abs(judged - search.cost()) < 1e-9
 
 
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -55,7 +55,7 @@
     "spurarch.coordination.scheduling.local_search",
     "spurarch.coordination.scheduling.moved_replicas",
     "spurarch.coordination.scheduling.placement",
-    "spurarch.coordination.scheduling.placement_memory",
+    "spurarch.coordination.scheduling.placement_state",
     "spurarch.coordination.scheduling.placement_round",
     "spurarch.coordination.scheduling.preemption",
     "spurarch.coordination.scheduling.priority_preemption",
