--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -115,9 +115,9 @@
 
 def load_controller() -> type[Controller]:
     """Imports only the modules that a controller needs to answer workers, and returns its class."""
-    from spurarch.transport import slim_curio
+    from spurarch.transport import curio_loader
 
-    slim_curio.install()
+    curio_loader.install()
     from spurarch.coordination.controller import Controller
 
     return Controller
@@ -127,7 +127,7 @@
     logging.basicConfig(level=level, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
     # curio warns if an operation completes just as its timeout expires, which is harmless and common on a busy core.
     logging.getLogger("curio").setLevel(logging.ERROR)
-    scarce = platform.deployment.limits.scarce()
+    scarce = platform.deployment.limits.below_recommended()
     if scarce:
         logging.getLogger(__name__).warning("deployment.limits: scarce: %s", "; ".join(scarce))
     controller = load_controller()
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -78,7 +78,7 @@
         self.view = FleetView(self.replica.state, deployment.teams, tuning.size_weight, deployment.objectives)
         coverage = extension.coverage if extension is not None else None
         self.owner = self._create_owner(lag, coverage)
-        self.peers = {peer.node: network.back_client(peer.address) for peer in platform.peers}
+        self.peers = {peer.node: network.peer_client(peer.address) for peer in platform.peers}
         self._notifier = PeerNotifier(self.peers)
         self.job_api = self._create_job_api()
         self._rate_sharing = RateSharing(node, self.peers, self.replica, self.cloud, self.owner, deployment.state)
@@ -137,7 +137,7 @@
         connections = max(MIN_PUBLIC_CONNECTIONS, sockets - direct_connections(sockets) - SOCKETS_RESERVED)
         tasks = [
             self.network.server(platform.listen, self.handle, connections).run,
-            self.network.back_server(platform.back, self.on_frame, PEER_CONNECTIONS).run,
+            self.network.peer_server(platform.peer_listen, self.on_frame, PEER_CONNECTIONS).run,
             self.membership.lease.run,
             self._start,
             self.replica.run_sync,
--- a/spurarch/coordination/membership/freshness.py
+++ b/spurarch/coordination/membership/freshness.py
@@ -13,7 +13,7 @@
 from spurarch.coordination.membership.store_reachability import StoreReachability
 from spurarch.protocol import peer_messages
 from spurarch.storage.replica import Replica
-from spurarch.transport.network import Calls
+from spurarch.transport.network import PeerClient
 
 CHECK_INTERVAL_S = 0.5
 PING_INTERVAL_S = 1.0
@@ -26,7 +26,7 @@
     """Keeps the copy of the records no older than about a second, and pings the peers while it can't be updated."""
 
     def __init__(
-        self, node: str, replica: Replica, reachability: StoreReachability, clients: Mapping[str, Calls]
+        self, node: str, replica: Replica, reachability: StoreReachability, clients: Mapping[str, PeerClient]
     ) -> None:
         self._node, self._replica, self._reachability, self._clients = node, replica, reachability, clients
 
@@ -46,7 +46,7 @@
                 await curio.spawn(self._ping, node, client, frame, daemon=True)
             await curio.sleep(PING_INTERVAL_S - CHECK_INTERVAL_S)
 
-    async def _ping(self, node: str, client: Calls, frame: bytes) -> None:
+    async def _ping(self, node: str, client: PeerClient, frame: bytes) -> None:
         sent_at = time.monotonic()
         response = await client.call(frame, PING_TIMEOUT_S)
         message = peer_messages.decode(response) if response is not None else None
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -14,7 +14,7 @@
 from spurarch.coordination.partition.owned_partition import OwnedPartition
 from spurarch.protocol import wire
 from spurarch.transport.http import NoAnswerError
-from spurarch.transport.network import Network, Requests
+from spurarch.transport.network import Network, RequestClient
 
 if TYPE_CHECKING:
     from spurarch.coordination.partition.record_feed import RecordFeed
@@ -44,7 +44,7 @@
         self, network: Network, permissions: Permissions, feed: RecordFeed, silent_s: float, sockets: int
     ) -> None:
         self._network, self._permissions, self._feed, self._silent_s = network, permissions, feed, silent_s
-        self._clients: dict[str, Requests] = {}  # by address, least recently used first
+        self._clients: dict[str, RequestClient] = {}  # by address, least recently used first
         self._max_connections = direct_connections(sockets)
         self._connection_slots = curio.Semaphore(self._max_connections)
         self._awaiting_connection: set[str] = set()  # names of machines whose commands wait for a connection
@@ -73,7 +73,7 @@
             self._awaiting_connection.add(name)
             await curio.spawn(self._send_to_machine, owned, machine, daemon=True)
 
-    def _client(self, address: str) -> Requests:
+    def _client(self, address: str) -> RequestClient:
         client = self._clients.pop(address, None) or self._network.client(address, 1)
         self._clients[address] = client
         while len(self._clients) > self._max_connections:
@@ -99,7 +99,7 @@
             status, body = await client.request("POST", wire.PATH_COMMANDS, wire.encode(request), RESPONSE_TIMEOUT_S)
         except NoAnswerError as err:
             log.debug("direct command unanswered machine=%s error=%s", machine.name, err)
-            partition.direct_commands.on_failure(machine, request, err.sent)
+            partition.direct_commands.on_failure(machine, request, err.may_be_sent)
             return
         heartbeat = None
         if status in (200, 409):
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -15,7 +15,7 @@
 from spurarch.protocol import peer_messages
 from spurarch.protocol.peer_messages import PeerMessage, Pong
 from spurarch.storage.replica import Replica
-from spurarch.transport.network import Calls, broadcast
+from spurarch.transport.network import PeerClient, broadcast
 
 NOTIFICATION_INTERVAL_S = 0.02  # changes within this interval share one notification
 PONG_SYNC_TIMEOUT_S = 0.8  # of the read of the state service that precedes a pong
@@ -24,7 +24,7 @@
 class PeerNotifier:
     """Notifies the peers of changes to the records and of cancellations."""
 
-    def __init__(self, clients: Mapping[str, Calls]) -> None:
+    def __init__(self, clients: Mapping[str, PeerClient]) -> None:
         self._clients = clients
         self._state_changed = curio.Event()
 
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -19,7 +19,7 @@
 from spurarch.storage.cloud import Cloud
 from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.replica import Replica
-from spurarch.transport.network import Calls, broadcast
+from spurarch.transport.network import PeerClient, broadcast
 
 SHARING_INTERVAL_S, MIN_SHARING_INTERVAL_S = 1.0, 0.2
 LOAD_VALID_S = 3 * SHARING_INTERVAL_S
@@ -61,7 +61,7 @@
     def __init__(
         self,
         node: str,
-        clients: Mapping[str, Calls],
+        clients: Mapping[str, PeerClient],
         replica: Replica,
         cloud: Cloud,
         owner: PartitionOwner,
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -18,7 +18,7 @@
 from spurarch.storage.seeds import SEED
 from spurarch.storage.store import Store
 from spurarch.transport.http import NoAnswerError
-from spurarch.transport.network import Calls, Requests
+from spurarch.transport.network import PeerClient, RequestClient
 
 MAX_PAGE_RECORDS = 500
 MAX_PAGE_BYTES = 400_000
@@ -101,7 +101,7 @@
     source: Source | None = None
 
 
-async def peer_copy(node: str, peer: Calls, sender: str, history: str) -> PeerCopy:
+async def peer_copy(node: str, peer: PeerClient, sender: str, history: str) -> PeerCopy:
     """Requests a peer's copy of a history page by page; raises `PeerOutdatedError`."""
     source: Source | None = None
     position = 0
@@ -123,7 +123,7 @@
         position = page.position
 
 
-async def archive_head(client: Requests, timeout_s: float) -> ArchiveHead | None:
+async def archive_head(client: RequestClient, timeout_s: float) -> ArchiveHead | None:
     """Returns the newest history of an archive server; None if it gives no usable answer within `timeout_s`."""
     try:
         status, body = await client.request("GET", PATH_HEAD, None, timeout_s)
@@ -132,7 +132,7 @@
         return None
 
 
-async def archive_source(client: Requests, history: str, kind: SourceKind = SourceKind.ARCHIVE) -> Source | None:
+async def archive_source(client: RequestClient, history: str, kind: SourceKind = SourceKind.ARCHIVE) -> Source | None:
     """Reads the archive of a history page by page; returns None if it can't be read completely at one revision."""
     source: Source | None = None
     position = 0
--- a/spurarch/recovery/history_opening.py
+++ b/spurarch/recovery/history_opening.py
@@ -15,7 +15,7 @@
 from spurarch.storage.errors import StoreUnavailableError
 from spurarch.storage.history import CURRENT, OPEN, HistoryGuard, HistoryPhase, HistoryRecord, decode_history
 from spurarch.storage.store import Store
-from spurarch.transport.network import Calls, Requests
+from spurarch.transport.network import PeerClient, RequestClient
 
 log = logging.getLogger(__name__)
 
@@ -52,8 +52,8 @@
         installation: str,
         guard: HistoryGuard,
         store: Store,
-        peers: dict[str, Calls],
-        archive: Requests | None,
+        peers: dict[str, PeerClient],
+        archive: RequestClient | None,
     ) -> None:
         self._node, self._installation = node, installation
         self._guard, self._store = guard, store
--- a/spurarch/recovery/rebuild_progress.py
+++ b/spurarch/recovery/rebuild_progress.py
@@ -17,7 +17,7 @@
 from spurarch.storage.cloud import Cloud
 from spurarch.storage.history import REBUILD
 from spurarch.storage.store import Store
-from spurarch.transport.network import Calls, Requests
+from spurarch.transport.network import PeerClient, RequestClient
 
 log = logging.getLogger(__name__)
 
@@ -59,8 +59,8 @@
     deployment: Deployment
     store: Store  # without a history guard, so keys get no prefix of a history
     cloud: Cloud
-    peers: dict[str, Calls]
-    archive: Requests | None
+    peers: dict[str, PeerClient]
+    archive: RequestClient | None
     collector: HeartbeatCollector
     own_copy: Callable[[], Source | None]
 
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -36,7 +36,7 @@
 from spurarch.storage.replica import Replica
 from spurarch.storage.store import Store
 from spurarch.transport.http_messages import Response
-from spurarch.transport.network import Calls, Network
+from spurarch.transport.network import Network, PeerClient
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
     owner: PartitionOwner
     permissions: Permissions
     cloud: Cloud
-    peers: dict[str, Calls]
+    peers: dict[str, PeerClient]
 
 
 class RecoveryService:
--- a/spurarch/recovery/worker_survey.py
+++ b/spurarch/recovery/worker_survey.py
@@ -20,7 +20,7 @@
 )
 from spurarch.storage.cloud import CloudError
 from spurarch.storage.history import MARKER_VALID_S, HistoryRecord
-from spurarch.transport.network import Calls
+from spurarch.transport.network import PeerClient
 
 log = logging.getLogger(__name__)
 
@@ -106,7 +106,7 @@
                 f"a worker reported partition epoch {reported_epoch}; the next rebuild chooses a higher one"
             )
 
-    async def _collect_from_peer(self, node: str, peer: Calls, evidence: Evidence) -> int:
+    async def _collect_from_peer(self, node: str, peer: PeerClient, evidence: Evidence) -> int:
         """Adds all heartbeats that a peer has received so far.
 
         Returns the highest epoch that a worker reported to the peer; 0 if the peer does not answer.
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -125,7 +125,7 @@
     memory_mb: Annotated[float, Meta(ge=MIN_MEMORY_MB)] = field(name="mem_mb", default=256.0)
     sockets: Annotated[int, Meta(ge=MIN_SOCKETS)] = field(name="fd_limit", default=1024)
 
-    def scarce(self) -> list[str]:
+    def below_recommended(self) -> list[str]:
         """Returns the fields below their recommended values, with both values, as texts for a warning."""
         limits = {
             "cpu": (self.cpu, RECOMMENDED_CPU_CORES),
@@ -174,7 +174,7 @@
     node: Name
     area: str
     listen: Address = field(name="public_addr")
-    back: Address
+    peer_listen: Address = field(name="back")
     external: External
     deployment: Deployment
     peers: list[Peer] = field(name="siblings", default=[])
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -13,7 +13,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.rate_limits import TokenBucket
 from spurarch.transport.http import NoAnswerError
-from spurarch.transport.network import Requests
+from spurarch.transport.network import RequestClient
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
     `rps` is the published rate in requests per second, which holds for all `controllers` together.
     """
 
-    def __init__(self, client: Requests, rps: float, controllers: int) -> None:
+    def __init__(self, client: RequestClient, rps: float, controllers: int) -> None:
         self._client, self._published_rps = client, rps
         self._bucket = TokenBucket(rps * (INITIAL_SHARE if controllers > 1 else INITIAL_SHARE_SINGLE), max(1.0, rps))
 
@@ -64,7 +64,7 @@
         try:
             status, response_body = await self._client.request(method, target, body, CALL_TIMEOUT_S)
         except NoAnswerError as err:
-            raise CloudError(str(err), err.sent) from None
+            raise CloudError(str(err), err.may_be_sent) from None
         if status == 429:
             self._bucket.penalize(time.monotonic())
         if status == 503 and b"capacity" in response_body:
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -15,7 +15,7 @@
 from spurarch.storage.rate_limits import StoreRates, Urgency
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 from spurarch.transport.http import NoAnswerError
-from spurarch.transport.network import Requests
+from spurarch.transport.network import RequestClient
 
 if TYPE_CHECKING:
     from spurarch.storage.history import HistoryGuard
@@ -46,7 +46,7 @@
     """
 
     def __init__(
-        self, client: Requests, limits: StateLimits, controllers: int, history: HistoryGuard | None = None
+        self, client: RequestClient, limits: StateLimits, controllers: int, history: HistoryGuard | None = None
     ) -> None:
         self._client = client
         self.history = history  # None if recovery is disabled
@@ -187,7 +187,7 @@
         try:
             status, response_body = await self._call("POST", wire.PATH_TXN, wire.encode(txn), urgency=urgency)
         except NoAnswerError as err:
-            return TransactionResult(TransactionStatus.UNKNOWN if err.sent else TransactionStatus.NOT_EXECUTED)
+            return TransactionResult(TransactionStatus.UNKNOWN if err.may_be_sent else TransactionStatus.NOT_EXECUTED)
         return _transaction_result(status, response_body)
 
     async def grant(self, ttl_s: float) -> int | None:
--- a/spurarch/transport/slim_curio.py
+++ b/spurarch/transport/curio_loader.py
@@ -20,7 +20,7 @@
     """Replaces concurrent.futures.Future, which curio uses only to communicate with threads."""
 
     def __init__(self) -> None:
-        raise RuntimeError("curio was loaded without thread support; see spurarch.transport.slim_curio")
+        raise RuntimeError("curio was loaded without thread support; see spurarch.transport.curio_loader")
 
 
 class _PlaceholderTlsError(OSError):
--- a/spurarch/transport/frames.py
+++ b/spurarch/transport/frames.py
@@ -8,7 +8,7 @@
 
 from spurarch.transport import sockets
 
-MAX_FRAME = 1024 * 1024  # bytes; the answer to a ping lists every cancelled job that is not terminal
+MAX_FRAME_BYTES = 1024 * 1024  # bytes; the answer to a ping lists every cancelled job that is not terminal
 FRAME_TIMEOUT_S = 60.0  # to read or write a frame; also closes idle connections
 
 
@@ -24,10 +24,13 @@
 
 
 async def read_frame(sock: curio.io.Socket) -> bytes:
-    """Reads one frame. Raises ConnectionResetError at the end of the connection or if the frame exceeds MAX_FRAME."""
+    """Reads one frame.
+
+    Raises ConnectionResetError at the end of the connection, or if the frame exceeds MAX_FRAME_BYTES.
+    """
     size = int.from_bytes(await _read_exactly(sock, 4), "big")
-    if size > MAX_FRAME:
-        raise ConnectionResetError("peer controller sent a frame longer than MAX_FRAME")
+    if size > MAX_FRAME_BYTES:
+        raise ConnectionResetError("peer controller sent a frame longer than MAX_FRAME_BYTES")
     return await _read_exactly(sock, size)
 
 
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -28,19 +28,19 @@
 
 REQUEST_READ_BYTES = 16384
 RESPONSE_READ_BYTES = 65536  # responses of the state service may be long
-IDLE_CONNECTION_S = 120.0  # timeout of a server connection between two requests
-SLOW_REQUEST_S = 10.0  # timeout for the first bytes of a connection and for the rest of a request
-FIRST_REQUEST_S = 2.0  # age from which a connection that has sent nothing may be closed in favor of a new one
+IDLE_TIMEOUT_S = 120.0  # timeout of a server connection between two requests
+REQUEST_READ_TIMEOUT_S = 10.0  # timeout for the first bytes of a connection and for the rest of a request
+FIRST_REQUEST_GRACE_S = 2.0  # age from which a connection that has sent nothing may be closed in favor of a new one
 SWEEP_INTERVAL_S = 1.0  # between two checks of the read deadlines
 CLIENT_KEEP_ALIVE_S = 20.0  # age from which a client closes an idle connection instead of reusing it
 
 
 class NoAnswerError(SpurarchError):
-    """A request got no usable response. `sent` is False only if no part of the request was sent."""
+    """A request got no usable response. `may_be_sent` is False only if no part of the request was sent."""
 
-    def __init__(self, reason: str, sent: bool) -> None:
+    def __init__(self, reason: str, may_be_sent: bool) -> None:
         super().__init__(reason)
-        self.sent = sent
+        self.may_be_sent = may_be_sent
 
 
 class _ServerConnection:
@@ -57,8 +57,8 @@
         self.read_by = float("inf")  # deadline by the monotonic clock; infinite while a request is being handled
 
     def is_first_request_overdue(self, now: float) -> bool:
-        """Whether the client has sent nothing within FIRST_REQUEST_S after it connected."""
-        return not self.served and not self.parser.started and now - self.began > FIRST_REQUEST_S
+        """Whether the client has sent nothing within FIRST_REQUEST_GRACE_S after it connected."""
+        return not self.served and not self.parser.started and now - self.began > FIRST_REQUEST_GRACE_S
 
 
 class HttpServer:
@@ -76,13 +76,15 @@
 
     async def run(self) -> None:
         """Accepts connections until cancelled."""
-        sweeper = await curio.spawn(self._end_slow, daemon=True)
+        sweeper = await curio.spawn(self._close_timed_out_connections, daemon=True)
         try:
-            await sockets.serve(self._address, self._serve_connection, self._max_connections, self._end_idlest)
+            await sockets.serve(
+                self._address, self._serve_connection, self._max_connections, self._close_least_used_connection
+            )
         finally:
             await sweeper.cancel()
 
-    async def _end_idlest(self) -> None:
+    async def _close_least_used_connection(self) -> None:
         """Closes one unused connection, if any.
 
         Those that never sent anything are closed first, so that many of them don't displace the workers' connections.
@@ -94,7 +96,7 @@
         if connection is not None:
             await connection.task.cancel()
 
-    async def _end_slow(self) -> None:
+    async def _close_timed_out_connections(self) -> None:
         """Closes connections whose read deadline has passed.
 
         One timer checks all connections, because a timeout for each read takes more processor time than the read.
@@ -137,10 +139,10 @@
         if request is not None:
             connection.idle = False
             return request
-        connection.read_by = time.monotonic() + (IDLE_CONNECTION_S if connection.served else SLOW_REQUEST_S)
+        connection.read_by = time.monotonic() + (IDLE_TIMEOUT_S if connection.served else REQUEST_READ_TIMEOUT_S)
         data = await sock.recv(REQUEST_READ_BYTES)
         connection.idle = False
-        connection.read_by = time.monotonic() + SLOW_REQUEST_S
+        connection.read_by = time.monotonic() + REQUEST_READ_TIMEOUT_S
         while data:
             parser.feed(data)
             request = parser.next_request()
@@ -148,7 +150,7 @@
                 connection.served = True
                 connection.read_by = float("inf")
                 return request
-            if parser.wants_continue():
+            if parser.take_continue_request():
                 await sock.sendall(CONTINUE_RESPONSE)
             data = await sock.recv(REQUEST_READ_BYTES)
         if parser.started:
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -10,8 +10,8 @@
 
 from spurarch.errors import SpurarchError
 
-MAX_BODY = 64 * 1024  # bytes of a request body
-MAX_HEAD = 16 * 1024  # bytes of a request line and its headers
+MAX_BODY_BYTES = 64 * 1024  # bytes of a request body
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a request line and its headers
 REASON_PHRASES = {
     200: "OK",
     201: "Created",
@@ -90,7 +90,7 @@
             self.closing = True  # no other protocol is supported; the request itself is answered
         except httptools.HttpParserError as err:
             raise MessageError(400, "malformed request") from err
-        if not self._head_done and self._head_bytes > MAX_HEAD:
+        if not self._head_done and self._head_bytes > MAX_HEAD_BYTES:
             self._pending_error = MessageError(431, "head too large")
         if self._pending_error is not None:
             raise self._pending_error
@@ -99,8 +99,8 @@
         """Returns the next complete request, or None."""
         return self._requests.pop(0) if self._requests else None
 
-    def wants_continue(self) -> bool:
-        """Whether the client waits for a 100 response before it sends its body; True at most once for each request."""
+    def take_continue_request(self) -> bool:
+        """Returns whether the client waits for a 100 response before its body; True at most once per request."""
         wanted, self._expects_continue = self._expects_continue, False
         return wanted and not self._body_parts
 
@@ -122,9 +122,9 @@
         self._head_done = True
 
     def on_body(self, body: bytes) -> None:
-        """Adds a part of the body, up to MAX_BODY bytes."""
+        """Adds a part of the body, up to MAX_BODY_BYTES."""
         self._body_bytes += len(body)
-        if self._body_bytes > MAX_BODY:
+        if self._body_bytes > MAX_BODY_BYTES:
             self._pending_error = MessageError(413, "body too large")
         else:
             self._body_parts.append(body)
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -225,7 +225,7 @@
         self.state_addresses = addresses[2 : 2 + s.controllers]  # of the state service, one for each controller
         pairs = addresses[2 + s.controllers :]
         self.nodes = [(f"n{i}", pairs[2 * i]) for i in range(s.controllers)]
-        self.back_addresses = [pairs[2 * i + 1] for i in range(s.controllers)]
+        self.peer_addresses = [pairs[2 * i + 1] for i in range(s.controllers)]
         self.store = FakeStore(self.clock, Random(s.seed + 1), s.rps, s.write_rps, 16.0, 24)
         self.world = LoggingWorld(self.log, self.clock, self.wire, s.report_s, s.lease_s, s.cancel_s)
         self.world.limits = dict(s.teams)
@@ -271,7 +271,7 @@
             node=f"n{index}",
             area="ab"[index % 2],
             public=self.nodes[index][1],
-            back=self.back_addresses[index],
+            back=self.peer_addresses[index],
             peers=peers,
             cloud=self.cloud_address,
             state=self.state_addresses[index],
@@ -289,7 +289,7 @@
 
     def peer_address(self, index: int, other: int) -> str:
         """Returns the address at which one controller reaches another."""
-        return self.back_addresses[other]
+        return self.peer_addresses[other]
 
     def features(self) -> Path:
         """Writes the operators' settings and returns the path of the file."""
@@ -505,7 +505,7 @@
         try:
             status, answer = await client.request(method, target, body or None, 3.0)
         except NoAnswerError as err:
-            return 504 if err.sent else NOT_CONNECTED, {}
+            return 504 if err.may_be_sent else NOT_CONNECTED, {}
         self.refused += status == 503
         return status, json.loads(answer) if answer else {}
 
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -37,7 +37,7 @@
         self.clock, self.random = clock, random
         self.hosts: dict[str, str] = {}  # address -> host
         self.handlers: dict[str, Handler] = {}  # address -> server
-        self.back_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}  # address -> server of peer frames
+        self.peer_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}  # address -> server of peer frames
         self.link_faults: list[LinkFault] = []
         self.doors: dict[str, Callable[[str], Handler]] = {}  # address -> function from client host to server
         self.slow_until, self.slow_s = 0.0, 0.0
@@ -130,7 +130,7 @@
                 del self._table[self._address]
 
 
-class SimBackClient:
+class SimPeerClient:
     """A client of a peer's frame server."""
 
     def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
@@ -140,7 +140,7 @@
         """Sends a frame, like FrameClient.call; returns None if there is no response."""
         await self._network.block_if_ended()
         wire = self._wire
-        handler = wire.back_handlers.get(self._address)
+        handler = wire.peer_handlers.get(self._address)
         if handler is None or wire.active_fault(self._source, wire.hosts[self._address]) is not None:
             return None
         await curio.sleep(wire.latency_s())
@@ -168,8 +168,8 @@
     def server(self, address: str, handler: Handler, max_connections: int) -> SimServer:
         return SimServer(self._wire.handlers, address, handler)  # type: ignore[arg-type]
 
-    def back_client(self, address: str) -> SimBackClient:
-        return SimBackClient(self, self._wire, self._host, address)
+    def peer_client(self, address: str) -> SimPeerClient:
+        return SimPeerClient(self, self._wire, self._host, address)
 
-    def back_server(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> SimServer:
-        return SimServer(self._wire.back_handlers, address, handler)  # type: ignore[arg-type]
+    def peer_server(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> SimServer:
+        return SimServer(self._wire.peer_handlers, address, handler)  # type: ignore[arg-type]
--- a/tests/sim/soak.py
+++ b/tests/sim/soak.py
@@ -104,7 +104,7 @@
     def peer_address(self, index: int, other: int) -> str:
         """Returns the address of the relay for requests from one controller to another."""
         if (index, other) not in self.relays:
-            self.relays[index, other] = Relay(self.addresses.reserve(), self.back_addresses[other])
+            self.relays[index, other] = Relay(self.addresses.reserve(), self.peer_addresses[other])
         return self.relays[index, other].address
 
     def features(self) -> Path:
--- a/tests/test_external_contract_peers.py
+++ b/tests/test_external_contract_peers.py
@@ -196,4 +196,4 @@
 
 
 def test_the_largest_frame_is_a_mebibyte() -> None:
-    assert frames.MAX_FRAME == 1_048_576
+    assert frames.MAX_FRAME_BYTES == 1_048_576
--- a/tests/test_external_contract_settings.py
+++ b/tests/test_external_contract_settings.py
@@ -441,4 +441,4 @@
 )
 def test_limits_that_are_scarce_are_named(platform_file: Path, limits: str, scarce: list[str]) -> None:
     platform_file.write_text(f"{SHORT_PLATFORM}[deployment.limits]\n{limits}\n")
-    assert load_platform(str(platform_file)).deployment.limits.scarce() == scarce
+    assert load_platform(str(platform_file)).deployment.limits.below_recommended() == scarce
--- a/tests/test_http_messages.py
+++ b/tests/test_http_messages.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from spurarch.transport.http_messages import (
-    MAX_BODY,
-    MAX_HEAD,
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
     MessageError,
     Request,
     RequestParser,
@@ -81,10 +81,10 @@
         (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
         (
             b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * (MAX_BODY // 0x4000 + 1),
+            + (b"4000\r\n" + b"x" * 0x4000 + b"\r\n") * (MAX_BODY_BYTES // 0x4000 + 1),
             413,
         ),
-        (b"GET /" + b"x" * MAX_HEAD, 431),
+        (b"GET /" + b"x" * MAX_HEAD_BYTES, 431),
     ],
 )
 def test_a_malformed_or_oversized_request_is_refused(raw: bytes, status: int) -> None:
@@ -97,8 +97,8 @@
 def test_expect_100_continue_is_reported_once() -> None:
     parser = RequestParser()
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-    assert parser.wants_continue()
-    assert not parser.wants_continue()
+    assert parser.take_continue_request()
+    assert not parser.take_continue_request()
     parser.feed(b"ab")
     assert requests_of(parser) == [Request("POST", "/", b"ab")]
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -89,7 +89,7 @@
     pong = peer_messages.Pong("node-0", "boot", True, jobs, [("zone", "node-0", 2**40)] * 20, 1.0, 1.0)
     load = peer_messages.Load("node-0", 1.0, False, [("zone", MACHINES)] * 20, names, 0)
     for message in (pong, load):
-        assert len(peer_messages.encode(message)) <= frames.MAX_FRAME
+        assert len(peer_messages.encode(message)) <= frames.MAX_FRAME_BYTES
     assert min(MAX_RELEASED_MACHINES, sockets.BACKLOG) >= MACHINES
 
 
--- a/tests/test_requests_and_settings.py
+++ b/tests/test_requests_and_settings.py
@@ -238,9 +238,9 @@
     path = tmp_path / "p.toml"
     path.write_text(f"{PLATFORM}[deployment.limits]\ncpu = 0.05\nmem_mb = 32.0\nfd_limit = 100\n")
     limits = load_platform(str(path)).deployment.limits
-    assert limits.scarce() == ["cpu = 0.05, below 0.1", "mem_mb = 32, below 64", "fd_limit = 100, below 256"]
+    assert limits.below_recommended() == ["cpu = 0.05, below 0.1", "mem_mb = 32, below 64", "fd_limit = 100, below 256"]
     path.write_text(PLATFORM)
-    assert load_platform(str(path)).deployment.limits.scarce() == []
+    assert load_platform(str(path)).deployment.limits.below_recommended() == []
 
 
 @pytest.mark.parametrize(
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -106,8 +106,8 @@
 class Network:
     def client(self, *args): return Client()
     def server(self, *args): return Server()
-    def back_client(self, *args): return Client()
-    def back_server(self, *args): return Server()
+    def peer_client(self, *args): return Client()
+    def peer_server(self, *args): return Server()
 
 
 async def main():
--- a/tests/test_work_counts.py
+++ b/tests/test_work_counts.py
@@ -77,7 +77,7 @@
         """A server to which no worker or user connects."""
         return Unresponsive()
 
-    def back_server(self, *_: object) -> Unresponsive:
+    def peer_server(self, *_: object) -> Unresponsive:
         """A server to which no peer connects."""
         return Unresponsive()
 
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize(
     ("pieces", "limit_s"),
-    [([HEAD], http.SLOW_REQUEST_S), ([HEAD + b"\r\n"], http.IDLE_CONNECTION_S), ([], http.SLOW_REQUEST_S)],
+    [([HEAD], http.REQUEST_READ_TIMEOUT_S), ([HEAD + b"\r\n"], http.IDLE_TIMEOUT_S), ([], http.REQUEST_READ_TIMEOUT_S)],
 )
 def test_the_connection_of_a_slow_client_ends_and_a_slow_handler_is_not_interrupted(
     pieces: list[bytes], limit_s: float
@@ -156,13 +156,13 @@
     clock, ended = Clock(), 0.0
 
     async def slow_handler(_: Request) -> Response:
-        await curio.sleep(20 * http.SLOW_REQUEST_S)
+        await curio.sleep(20 * http.REQUEST_READ_TIMEOUT_S)
         return Response(200)
 
     async def main() -> None:
         nonlocal ended
         sock, server = StandInSocket(*pieces), HttpServer("127.0.0.1:1", slow_handler, 10)
-        await curio.spawn(server._end_slow, daemon=True)
+        await curio.spawn(server._close_timed_out_connections, daemon=True)
         task = await curio.spawn(server._serve_connection, sock, daemon=True)
         began = clock.now
         await task.wait()
@@ -171,7 +171,7 @@
         assert not server._connections
 
     clock.run(main)
-    handled_s = 20 * http.SLOW_REQUEST_S if pieces == [HEAD + b"\r\n"] else 0.0
+    handled_s = 20 * http.REQUEST_READ_TIMEOUT_S if pieces == [HEAD + b"\r\n"] else 0.0
     assert limit_s <= ended - handled_s <= limit_s + 2 * http.SWEEP_INTERVAL_S
 
 
@@ -197,7 +197,7 @@
         await curio.sleep(0)
         for _ in range(workers):
             if len(server._connections) >= limit:
-                await server._end_idlest()
+                await server._close_least_used_connection()
                 ended += 1
             tasks.append(await curio.spawn(server._serve_connection, Worker(HEAD + b"\r\n"), daemon=True))
             await curio.sleep(0.001)
@@ -222,9 +222,9 @@
             await curio.spawn(server._serve_connection, StandInSocket(HEAD + b"\r\n"), daemon=True) for _ in range(30)
         ]
         without_request = [await curio.spawn(server._serve_connection, StandInSocket(), daemon=True) for _ in range(10)]
-        await curio.sleep(http.FIRST_REQUEST_S + 0.1)
+        await curio.sleep(http.FIRST_REQUEST_GRACE_S + 0.1)
         for _ in range(10):
-            await server._end_idlest()
+            await server._close_least_used_connection()
         assert all(task.terminated for task in without_request)
         assert not any(task.terminated for task in workers)
 
