--- a/spurarch/coordination/admission/job_admission.py
+++ b/spurarch/coordination/admission/job_admission.py
@@ -109,7 +109,7 @@
 
         A record that was written under a higher size limit is split when it is rewritten.
         """
-        return records.pieces_of(self._state.allocations[source.job][source], self._tasks_per_record)
+        return records.count_split_records(self._state.allocations[source.job][source], self._tasks_per_record)
 
     def _source_writes(self) -> list[Write]:
         """Returns the changes to allocations from which tasks are moved; those without other tasks are deleted."""
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -118,6 +118,6 @@
         # Partition owners later delete the allocations that don't fit in this transaction. While the rate limit leaves
         # no changes to spare, they delete all of them.
         allocations = [str(key) for key in state.allocations.get(job_id, {})]
-        if self._replica.store.rates.can_write_now(Urgency.ENDS):
+        if self._replica.store.rates.can_write_now(Urgency.CLEANUP):
             writes += [Write(key, None) for key in allocations[: self._max_changes - len(writes)]]
         return writes, set(allocations[: self._max_guards])
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -13,7 +13,7 @@
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.quota_ledger import QuotaReservation
 from spurarch.coordination.membership.membership import Membership
-from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_job
 from spurarch.settings import StateLimits
 from spurarch.storage import records
 from spurarch.storage.rate_limits import Urgency
@@ -40,7 +40,7 @@
         """Returns whether the batch stays within the limits with one more admission; an empty batch accepts any."""
         changes = len(self.writes) + len(admission.writes)
         max_bytes = sum(other.max_bytes for other in self.admissions) + admission.max_bytes
-        return not self.admissions or (changes <= max_changes and max_bytes <= records.TXN_BYTES)
+        return not self.admissions or (changes <= max_changes and max_bytes <= records.MAX_TXN_CHANGE_BYTES)
 
     def add(self, admission: JobAdmission) -> None:
         """Adds the admission of one job."""
@@ -118,7 +118,9 @@
         self, job_id: str, grants: list[AdmissionGrant], planned_versions: RecordVersions
     ) -> JobAdmission | None:
         """Returns the record changes that admit the tasks of one job; None if the plan for it is outdated."""
-        if not is_live(self._replica.state, job_id) or not self._is_still_valid(job_id, grants, planned_versions):
+        if not is_uncancelled_job(self._replica.state, job_id) or not self._is_still_valid(
+            job_id, grants, planned_versions
+        ):
             return None
         return self._job_admission(job_id, grants)
 
@@ -156,7 +158,9 @@
             for admission in batch.admissions
             for key in (records.JOB + admission.job, records.ADMISSION + admission.job)
         }
-        result = await self._replica.commit(batch.writes, guards, urgency=urgency, pinned={records.LEADER: term})
+        result = await self._replica.commit(
+            batch.writes, guards, urgency=urgency, pinned_versions={records.LEADER: term}
+        )
         self._release_resolved(reservations, result)
         if result.status is TransactionStatus.COMMITTED:
             await self._notify_peers()
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -11,7 +11,7 @@
 CHECKPOINT_GRACE_FACTOR, CHECKPOINT_GRACE_MARGIN_S = 1.5, 1.0
 
 
-def is_live(cluster: ClusterState, job: str) -> bool:
+def is_uncancelled_job(cluster: ClusterState, job: str) -> bool:
     """Whether the job is on record and not cancelled."""
     record: JobRecord | None = cluster.jobs.get(job)
     return record is not None and not record.cancelled
@@ -24,15 +24,15 @@
     return spec.checkpoint_duration_s * CHECKPOINT_GRACE_FACTOR + CHECKPOINT_GRACE_MARGIN_S
 
 
-def is_live_gang(cluster: ClusterState, job: str) -> bool:
+def is_uncancelled_gang(cluster: ClusterState, job: str) -> bool:
     """Whether the job is on record, not cancelled, and a gang."""
-    return is_live(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
+    return is_uncancelled_job(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
 
 
 _PREVIOUS_STATES: dict[int, set[TaskState]] = {
-    records.RETURNED: {records.FREE, records.ASSIGNED},
+    records.RETURNED: {records.UNASSIGNED, records.ASSIGNED},
     records.ENDED: {records.ASSIGNED},
-    records.FREE: {records.ASSIGNED},
+    records.UNASSIGNED: {records.ASSIGNED},
 }
 
 
@@ -44,7 +44,7 @@
     """
     if new.state == records.ASSIGNED:
         newer = new.attempt > entry.attempt if gang else new.attempt == entry.attempt + 1
-        return entry.state == records.FREE and newer
+        return entry.state == records.UNASSIGNED and newer
     return entry.state in _PREVIOUS_STATES[new.state] and new.attempt == entry.attempt
 
 
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -68,12 +68,12 @@
             except Exception:  # an unexpected error must not end the controller
                 log.exception("partition round failed partition=%s", zone)
                 await curio.sleep(FAILURE_PAUSE_S)
-            await curio.sleep(self._context.lag.pause_s(ROUND_PAUSE_S))
+            await curio.sleep(self._context.lag.round_pause_s(ROUND_PAUSE_S))
 
     async def _run_round(self, owned: OwnedPartition) -> None:
         partition, cluster, now = owned.partition, self._context.replica.state, time.monotonic()
         writes: list[Write] = []
-        if now >= owned.next_tick and self._permissions.is_not_stalled(now):
+        if now >= owned.next_tick and self._permissions.is_confirmed_since_stall(now):
             owned.next_tick = now + PARTITION_TICK_S
             partition.tick(now)
             writes = machine_writes(partition, cluster, now)
@@ -89,7 +89,7 @@
     async def _place(self, owned: OwnedPartition, changes: AllocationChanges, now: float) -> None:
         """Runs a placement round: adds its assignments to `changes`, and stops the tasks that it preempts."""
         partition, budget = owned.partition, self._budget()
-        owned.placer.writes_scarce = self._context.replica.store.rates.write_level() < SCARCE_LEVEL
+        owned.placer.writes_scarce = self._context.replica.store.rates.unused_write_share() < SCARCE_LEVEL
         placed = owned.placer.run_round(
             partition, self._context.view, now, budget.spent, MAX_ALLOCATIONS_PER_ROUND, time.time()
         )
@@ -107,7 +107,7 @@
 
     def _end_delay_s(self) -> float:
         """Seconds for which ended tasks are collected: 0 while writes are plentiful, more the scarcer they are."""
-        level = self._context.replica.store.rates.write_level()
+        level = self._context.replica.store.rates.unused_write_share()
         if level <= Urgency.STARTS.value:
             return END_DELAY_SCARCE_S
         return END_DELAY_S * min(1.0, max(0.0, END_DELAY_LEVEL - level) / END_DELAY_LEVEL)
@@ -134,19 +134,19 @@
 
         partition, context = owned.partition, self._context
         result = refine(partition, context.view, context.tuning, now, self._random, self._budget().spent)
-        if result.empty is not None:
-            log.info("draining machine for consolidation machine=%s", result.empty)
-            partition.machines[result.empty].draining = True
+        if result.machine_to_drain is not None:
+            log.info("draining machine for consolidation machine=%s", result.machine_to_drain)
+            partition.machines[result.machine_to_drain].draining = True
         for attempt, target in result.moves:
             log.info(
                 "migrating service replica job=%s task=%d machine=%s target=%s", *attempt.key, attempt.machine, target
             )
-            owned.placer.move(attempt.key, target, now + MIGRATION_RESERVATION_S)
+            owned.placer.reserve_move_target(attempt.key, target, now + MIGRATION_RESERVATION_S)
             partition.request_stop(attempt, self._grace_s(attempt))
         if result.search is not None and result.search.moves:
             log.info(
                 "placement search improved partition=%s cost_before=%.4f cost_after=%.4f",
                 partition.zone,
-                result.search.before,
-                result.search.after,
+                result.search.cost_before,
+                result.search.cost_after,
             )
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -20,13 +20,13 @@
 from spurarch.storage.records import AllocationKey, TaskEntry
 
 TOKEN_BITS = 36  # low bits of a fencing token, which hold a counter; the higher bits hold the epoch
-RELEASED_MACHINES_KEPT = 20_000  # machine names; several times the number of machines in a fleet
+MAX_RELEASED_MACHINES = 20_000  # machine names; several times the number of machines in a fleet
 
 
 class ArchiveCoverage(Protocol):
     """Reports up to which revision the archive holds all changes of records."""
 
-    def recorded(self) -> int:
+    def recorded_revision(self) -> int:
         """Returns a revision that includes all records that this controller has now."""
 
     def covers(self, revision: int) -> bool:
@@ -103,10 +103,10 @@
         self.machines[name] = machine
         return machine
 
-    def remember_released(self, name: str) -> None:
+    def add_released_machine(self, name: str) -> None:
         """Keeps the name of a released machine, since late heartbeats and records of it may still arrive."""
         self.released_machines[name] = None
-        if len(self.released_machines) > RELEASED_MACHINES_KEPT:
+        if len(self.released_machines) > MAX_RELEASED_MACHINES:
             del self.released_machines[next(iter(self.released_machines))]
 
     # Attempts
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -15,7 +15,7 @@
 from spurarch.protocol import peer_messages
 from spurarch.protocol.peer_messages import PeerMessage, Pong
 from spurarch.storage.replica import Replica
-from spurarch.transport.network import Calls, broadcast
+from spurarch.transport.network import PeerClient, broadcast
 
 NOTIFICATION_INTERVAL_S = 0.02  # changes within this interval share one notification
 PONG_SYNC_TIMEOUT_S = 0.8  # of the read of the state service that precedes a pong
@@ -24,7 +24,7 @@
 class PeerNotifier:
     """Notifies the peers of changes to the records and of cancellations."""
 
-    def __init__(self, clients: Mapping[str, Calls]) -> None:
+    def __init__(self, clients: Mapping[str, PeerClient]) -> None:
         self._clients = clients
         self._state_changed = curio.Event()
 
@@ -89,7 +89,7 @@
         reached = replica.loaded and await replica.sync(PONG_SYNC_TIMEOUT_S)
         state, now = replica.state, time.monotonic()
         cancelled = {job_id for job_id, job in state.jobs.items() if job.cancelled}
-        cancelled |= set(self._reachability.cancelled_by_peers)
+        cancelled |= set(self._reachability.reported_cancellations)
         partitions = [(zone, partition.node, partition.epoch) for zone, partition in state.partitions.items()]
         has_synced = replica.synced_at > float("-inf")
         copy_age_s, uptime_s = now - replica.synced_at if has_synced else -1.0, now - self._started_at
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -19,7 +19,7 @@
 from spurarch.storage.cloud import Cloud
 from spurarch.storage.rate_limits import borrowed_share
 from spurarch.storage.replica import Replica
-from spurarch.transport.network import Calls, broadcast
+from spurarch.transport.network import PeerClient, broadcast
 
 SHARING_INTERVAL_S, MIN_SHARING_INTERVAL_S = 1.0, 0.2
 LOAD_VALID_S = 3 * SHARING_INTERVAL_S
@@ -61,7 +61,7 @@
     def __init__(
         self,
         node: str,
-        clients: Mapping[str, Calls],
+        clients: Mapping[str, PeerClient],
         replica: Replica,
         cloud: Cloud,
         owner: PartitionOwner,
@@ -107,7 +107,7 @@
             if now - received.received_at < LOAD_VALID_S
         }
         own_load = self._own_load(now)
-        self._owner.scale_in.unregistered_by_peer = {
+        self._owner.scale_in.unregistered_machines_by_peer = {
             node: dict(load.unregistered_machines) for node, load in loads.items()
         }
         loads[self._node] = own_load
@@ -123,7 +123,7 @@
             self._node,
             *self._store.rates.recent_writes(),
             self._owner.unregistered_machines(now),
-            self._owner.scale_in.released_unrecorded(),
+            self._owner.scale_in.released_on_record(),
             self._store.rates.throttled_writes,
         )
 
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -8,19 +8,19 @@
 
 from spurarch.coordination.fleet.fleet_view import FleetView
 from spurarch.coordination.fleet.job_view import JobView
-from spurarch.coordination.partition.allocation_changes import is_live
+from spurarch.coordination.partition.allocation_changes import is_uncancelled_job
 from spurarch.coordination.partition.partition import Partition
 from spurarch.coordination.scheduling.array_placement import ArrayPlacement
 from spurarch.coordination.scheduling.gang_placement import GangPlacement
 from spurarch.coordination.scheduling.guarantee_preemption import GuaranteePreemption
 from spurarch.coordination.scheduling.moved_replicas import MovedReplicas
-from spurarch.coordination.scheduling.placement_memory import MoveTarget, PlacementState, TaskKey
 from spurarch.coordination.scheduling.placement_round import (
     AllocationEntries,
     PlacementResult,
     PlacementRound,
     PlacementSettings,
 )
+from spurarch.coordination.scheduling.placement_state import MoveTarget, PlacementState, TaskKey
 from spurarch.coordination.scheduling.preemption import Preemption
 from spurarch.coordination.scheduling.priority_preemption import PriorityPreemption
 from spurarch.coordination.scheduling.service_placement import ServicePlacement
@@ -42,7 +42,7 @@
         self._settings = PlacementSettings(longest_wait_s, guarantee_wait_s, max_silence_s)
         self._placement_state = PlacementState()
 
-    def move(self, key: TaskKey, machine: str, expires_at: float) -> None:
+    def reserve_move_target(self, key: TaskKey, machine: str, expires_at: float) -> None:
         """Reserves capacity for a replica on its target machine until the given time in monotonic seconds."""
         self._placement_state.move_targets[key] = MoveTarget(machine, expires_at)
 
@@ -159,7 +159,9 @@
     def _may_start(self, job_id: str) -> bool:
         """Returns whether the job is live and not in backoff."""
         backoff = self._round.partition.backoffs.get(job_id)
-        return is_live(self._round.view.state, job_id) and (backoff is None or backoff.not_before <= self._round.now)
+        return is_uncancelled_job(self._round.view.state, job_id) and (
+            backoff is None or backoff.not_before <= self._round.now
+        )
 
     def _rank(self, allocation: AllocationKey) -> tuple[tuple[int, bool, float, float], str, int]:
         job = self._round.view.jobs[allocation.job]
--- a/spurarch/coordination/scheduling/priority_preemption.py
+++ b/spurarch/coordination/scheduling/priority_preemption.py
@@ -5,8 +5,8 @@
 from spurarch.coordination.fleet.capacity import EPSILON, MachineCapacity, Requirements, TentativeBookings
 from spurarch.coordination.fleet.job_view import JobView
 from spurarch.coordination.partition.machine import TaskAttempt
-from spurarch.coordination.scheduling.placement_memory import TaskKey
 from spurarch.coordination.scheduling.placement_round import PlacementRound
+from spurarch.coordination.scheduling.placement_state import TaskKey
 from spurarch.coordination.scheduling.preemption import PREEMPTION_RESERVATION_S, Preemption
 
 HIGHEST_PRIORITY = 0
@@ -28,7 +28,7 @@
         """
         if priority not in self._has_lower_priority:
             schedulable = self._round.capacities.schedulable
-            used = (used for capacity in schedulable for used in capacity.by_priority[priority + 1 :])
+            used = (used for capacity in schedulable for used in capacity.used_by_priority[priority + 1 :])
             self._has_lower_priority[priority] = any(cpus > EPSILON for cpus, *_ in used)
         return self._has_lower_priority[priority]
 
@@ -93,7 +93,9 @@
         try:
             for capacity in by_free_cpus:
                 selected = self._unbook_victims(bookings, requirements, capacity, remaining)
-                slots = capacity.task_slots(requirements, remaining) if capacity.allows(requirements) else 0
+                slots = (
+                    capacity.task_slots(requirements, remaining) if capacity.satisfies_constraints(requirements) else 0
+                )
                 if slots:
                     machines.append(capacity)
                     victims += selected
--- a/spurarch/storage/cloud.py
+++ b/spurarch/storage/cloud.py
@@ -13,7 +13,7 @@
 from spurarch.protocol import wire
 from spurarch.storage.rate_limits import TokenBucket
 from spurarch.transport.http import NoAnswerError
-from spurarch.transport.network import Requests
+from spurarch.transport.network import RequestClient
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
     `rps` is the published rate in requests per second, which holds for all `controllers` together.
     """
 
-    def __init__(self, client: Requests, rps: float, controllers: int) -> None:
+    def __init__(self, client: RequestClient, rps: float, controllers: int) -> None:
         self._client, self._published_rps = client, rps
         self._bucket = TokenBucket(rps * (INITIAL_SHARE if controllers > 1 else INITIAL_SHARE_SINGLE), max(1.0, rps))
 
@@ -64,7 +64,7 @@
         try:
             status, response_body = await self._client.request(method, target, body, CALL_TIMEOUT_S)
         except NoAnswerError as err:
-            raise CloudError(str(err), err.sent) from None
+            raise CloudError(str(err), err.may_be_sent) from None
         if status == 429:
             self._bucket.penalize(time.monotonic())
         if status == 503 and b"capacity" in response_body:
@@ -73,7 +73,7 @@
             raise CloudError(f"the cloud responded with status {status}")
         return response_body
 
-    async def types(self) -> list[wire.MachineType]:
+    async def machine_types(self) -> list[wire.MachineType]:
         """Returns the machine types and their current prices. Raises `CloudError`."""
         response_body = await self._call("GET", wire.PATH_TYPES, None)
         return _decode(wire.types_decoder, response_body).types
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -55,7 +55,7 @@
     "spurarch.coordination.scheduling.local_search",
     "spurarch.coordination.scheduling.moved_replicas",
     "spurarch.coordination.scheduling.placement",
-    "spurarch.coordination.scheduling.placement_memory",
+    "spurarch.coordination.scheduling.placement_state",
     "spurarch.coordination.scheduling.placement_round",
     "spurarch.coordination.scheduling.preemption",
     "spurarch.coordination.scheduling.priority_preemption",
@@ -106,8 +106,8 @@
 class Network:
     def client(self, *args): return Client()
     def server(self, *args): return Server()
-    def back_client(self, *args): return Client()
-    def back_server(self, *args): return Server()
+    def peer_client(self, *args): return Client()
+    def peer_server(self, *args): return Server()
 
 
 async def main():
