--- a/tests/outcomes.py
+++ b/tests/outcomes.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-ACCEPTED, ASKED_TO_CANCEL, TOLD, STARTED, COMPLETED, LEFT = (
+ACCEPTED, CANCEL_REQUESTED, REPORTED, STARTED, COMPLETED, LEFT = (
     "accepted",
     "asked to cancel",
     "told",
@@ -64,11 +64,11 @@
 
 def _check_job(job: str, tasks: int, events: list[Event]) -> list[str]:
     out = []
-    reported = [event.detail for event in events if event.kind == TOLD]
+    reported = [event.detail for event in events if event.kind == REPORTED]
     if not any(event.kind == ACCEPTED for event in events):
         return [f"{job}: was never accepted"]
     finals = list(dict.fromkeys(state for state in reported if state in FINAL))
-    cancel_requested = any(event.kind == ASKED_TO_CANCEL for event in events)
+    cancel_requested = any(event.kind == CANCEL_REQUESTED for event in events)
     if len(finals) > 1:
         out.append(f"{job}: told {' and '.join(finals)}")
     if finals and reported[reported.index(finals[0]) :] != finals[:1] * len(reported[reported.index(finals[0]) :]):
@@ -85,7 +85,7 @@
 
 
 def _check_done(job: str, tasks: int, events: list[Event]) -> list[str]:
-    first = next(i for i, event in enumerate(events) if event.kind == TOLD and event.detail == "done")
+    first = next(i for i, event in enumerate(events) if event.kind == REPORTED and event.detail == "done")
     completed = {event.task for event in events[:first] if event.kind == COMPLETED}
     missing = sorted(set(range(tasks)) - completed)
     return [f"{job}: done without tasks {missing}"] if missing else []
--- a/tests/sim/addresses.py
+++ b/tests/sim/addresses.py
@@ -11,7 +11,7 @@
 
 # Below the ephemeral ports, as an outgoing connection could take the port of a killed controller before its restart.
 SERVER_PORTS: Sequence[int] = range(12_000, 32_000)
-HOLDER_NAME = "spurarch-tests-port-"
+RESERVATION_NAME_PREFIX = "spurarch-tests-port-"
 
 
 class ReservedAddresses:
@@ -50,7 +50,7 @@
         with ExitStack() as attempt:
             reservation = attempt.enter_context(socket.socket(socket.AF_UNIX))
             try:
-                reservation.bind(f"\0{HOLDER_NAME}{port}")
+                reservation.bind(f"\0{RESERVATION_NAME_PREFIX}{port}")
                 with socket.socket() as probe:
                     probe.bind(("127.0.0.1", port))
             except OSError:
--- a/tests/sim/exchanges.py
+++ b/tests/sim/exchanges.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from spurarch.transport.http import Request, Response
-from tests.sim.scenario import Play
+from tests.sim.scenario import ScenarioRun
 
 
 @dataclass(frozen=True)
@@ -21,10 +21,10 @@
     answer: bytes
 
 
-def record_exchanges(play: Play) -> list[Exchange]:
-    """Returns a list to which all exchanges are added; to be called before the play runs."""
+def record_exchanges(scenario_run: ScenarioRun) -> list[Exchange]:
+    """Returns a list to which all exchanges are added; to be called before the scenario runs."""
     exchanges: list[Exchange] = []
-    send = play.wire.request
+    send = scenario_run.links.request
 
     async def record(source: str, address: str, request: Request, timeout_s: float) -> Response:
         response = await send(source, address, request, timeout_s)
@@ -32,11 +32,11 @@
         exchanges.append(Exchange(source, address, line, request.body, response.status, response.body))
         return response
 
-    play.wire.request = record  # type: ignore[method-assign]
+    scenario_run.links.request = record  # type: ignore[method-assign]
     return exchanges
 
 
-def without_chance(raw: bytes) -> bytes:
+def mask_random_values(raw: bytes) -> bytes:
     """Replaces process names and times of day, which differ between runs, by BOOT and MOMENT."""
     raw = re.sub(rb"[0-9a-f]{16}", b"BOOT", raw)
     return re.sub(rb'"(at|cancelled_at)":17000[0-9]+\.[0-9]+', rb'"\1":MOMENT', raw)
--- a/tests/sim/fleet.py
+++ b/tests/sim/fleet.py
@@ -14,7 +14,7 @@
 from spurarch.transport.http import NoAnswerError, Request, Response
 from tests.sim.clock import Clock
 from tests.sim.gangs import SimGangs
-from tests.sim.net import Wire
+from tests.sim.net import SimLinks
 from tests.sim.store import json_response
 
 
@@ -47,7 +47,7 @@
 class Rules:
     """Violations of the scheduling rules, as seen from outside, and counts of started tasks."""
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     started: int = 0
     starts: dict[str, int] = field(default_factory=dict)  # by task
     lost_with_lease: dict[str, int] = field(
@@ -61,14 +61,14 @@
     def __init__(
         self,
         clock: Clock,
-        wire: Wire,
+        links: SimLinks,
         report_s: float,
         lease_s: float,
         cancel_s: float,
         gang_wait_s: float = 30.0,
         gang_peer_s: float = 4.0,
     ) -> None:
-        self.clock, self.wire = clock, wire
+        self.clock, self.links = clock, links
         self.gangs = SimGangs(self, gang_wait_s, gang_peer_s)
         self.saved_attempts: dict[str, set[int]] = {}
         self.report_s, self.lease_s, self.cancel_s = report_s, lease_s, cancel_s
@@ -79,7 +79,7 @@
         self.limits: dict[str, float] = {}
         self.faulty: set[str] = set()
         self.workers: dict[str, Worker] = {}
-        self.rules = Rules()
+        self.checks = Rules()
         self.first_started_at: dict[str, float] = {}  # by job: start of its first task
         self.submitted: dict[str, float] = {}
         self.random = Random(1)
@@ -108,12 +108,12 @@
 
     def record_violation(self, text: str) -> None:
         """Records a violation with the present time."""
-        self.rules.broken.append(f"at {self.clock.now - 1000:.2f}: {text}")
+        self.checks.violations.append(f"at {self.clock.now - 1000:.2f}: {text}")
 
     def check_start(self, worker: Worker, task: SimTask) -> None:
         """Checks the rules that apply when a task starts."""
-        self.rules.started += 1
-        self.rules.starts[task.name] = self.rules.starts.get(task.name, 0) + 1
+        self.checks.started += 1
+        self.checks.starts[task.name] = self.checks.starts.get(task.name, 0) + 1
         job = task.name.split("/")[0]
         spec = self.jobs[job]
         self.first_started_at.setdefault(job, self.clock.now)
@@ -166,8 +166,8 @@
         self.notice_until: float | None = None
         self.changed = False  # whether there is a change to report at once
         self.sent_heartbeats: list[tuple[str, bytes]] = []  # (address, body) of all heartbeats, for copies of them
-        world.wire.hosts[self.addr] = name
-        world.wire.handlers[self.addr] = self.serve
+        world.links.hosts[self.addr] = name
+        world.links.handlers[self.addr] = self.serve
 
     def heartbeat(self) -> dict[str, Any]:
         """Returns the worker's state as a heartbeat message with the next sequence number."""
@@ -268,7 +268,7 @@
         if not self.up or now < self.hang_until:
             return
         if now - self.lease_renewed_at > self.world.lease_s:
-            lost = self.world.rules.lost_with_lease
+            lost = self.world.checks.lost_with_lease
             for task in self.tasks.values():
                 lost[task.name] = lost.get(task.name, 0) + 1
             self.tasks.clear()
@@ -332,7 +332,7 @@
         if sent_at < self.world.late_heartbeats_until and self.world.random.random() < self.world.late_heartbeats_share:
             await curio.spawn(self._deliver_late_copy, address, body, daemon=True)
         try:
-            response = await self.world.wire.request(self.name, address, Request("POST", "/agent/beat", body), 4.0)
+            response = await self.world.links.request(self.name, address, Request("POST", "/agent/beat", body), 4.0)
         except NoAnswerError:
             await self._next_node()
             return
@@ -360,7 +360,7 @@
     async def _deliver_late_copy(self, address: str, body: bytes) -> None:
         """Delivers a copy of a heartbeat 2 s to 2 s and 1.5 leases later."""
         await curio.sleep(2.0 + 1.5 * self.world.lease_s * self.world.random.random())
-        handler = self.world.wire.handlers.get(address)
+        handler = self.world.links.handlers.get(address)
         if handler is not None:
             self.world.late_heartbeats += 1
             await handler(Request("POST", "/agent/beat", body))
@@ -372,7 +372,7 @@
     async def deliver_copies(self, since: float, gap_s: float, address: str | None) -> None:
         """Delivers copies of earlier heartbeats in their order, to `address` or to their original receivers."""
         for target, body in list(self.sent_heartbeats)[int(since) :]:
-            handler = self.world.wire.handlers.get(address or target)
+            handler = self.world.links.handlers.get(address or target)
             if handler is not None:
                 await handler(Request("POST", "/agent/beat", body))
             await curio.sleep(gap_s)
@@ -387,7 +387,7 @@
         """Removes the machine with all its tasks."""
         self.up = False
         self.tasks.clear()
-        self.world.wire.handlers.pop(self.addr, None)
+        self.world.links.handlers.pop(self.addr, None)
 
 
 class SimCloud:
--- a/tests/sim/loopback.py
+++ b/tests/sim/loopback.py
@@ -23,11 +23,11 @@
 
 from spurarch.storage.history import ARCHIVED
 from spurarch.transport.http import Handler, HttpClient, HttpServer, NoAnswerError, Request, Response
-from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog
+from tests.outcomes import ACCEPTED, CANCEL_REQUESTED, COMPLETED, LEFT, REPORTED, STARTED, Event, OutcomeLog
 from tests.sim.addresses import ReservedAddresses
 from tests.sim.clock import Clock
 from tests.sim.fleet import MachineType, SimCloud, SimTask, Worker, World
-from tests.sim.store import FakeStore
+from tests.sim.store import SimStateService
 
 ROOT = Path(__file__).parent.parent.parent
 CONNECTIONS = 200
@@ -78,7 +78,7 @@
 
 
 class _Handlers(dict[str, Handler]):
-    """Handlers by address; LoopbackWire opens a server for each new address."""
+    """Handlers by address; LoopbackLinks opens a server for each new address."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -94,7 +94,7 @@
         self.new_addresses.append(address)
 
 
-class LoopbackWire:
+class LoopbackLinks:
     """Connections over real sockets, in place of the simulated network."""
 
     def __init__(self) -> None:
@@ -217,7 +217,7 @@
         self.clock = cast(Clock, RealClock())
         self.random = Random(settings.seed)
         self.log = OutcomeLog()
-        self.wire: Any = LoopbackWire()
+        self.links: Any = LoopbackLinks()
         s = settings
         self.addresses = ReservedAddresses()
         addresses = [self.addresses.reserve() for _ in range(3 * s.controllers + 2)]
@@ -226,8 +226,8 @@
         pairs = addresses[2 + s.controllers :]
         self.nodes = [(f"n{i}", pairs[2 * i]) for i in range(s.controllers)]
         self.peer_addresses = [pairs[2 * i + 1] for i in range(s.controllers)]
-        self.store = FakeStore(self.clock, Random(s.seed + 1), s.rps, s.write_rps, 16.0, 24)
-        self.world = LoggingWorld(self.log, self.clock, self.wire, s.report_s, s.lease_s, s.cancel_s)
+        self.store = SimStateService(self.clock, Random(s.seed + 1), s.rps, s.write_rps, 16.0, 24)
+        self.world = LoggingWorld(self.log, self.clock, self.links, s.report_s, s.lease_s, s.cancel_s)
         self.world.limits = dict(s.teams)
         self.cloud = SimCloud(self.world, ["a", "b"], self.nodes, 0.2)
         kind = MachineType("small", 4.0, 16.0, 0.5, s.capacity)
@@ -254,7 +254,7 @@
 
     async def close_clients(self) -> None:
         """Closes the open connections of workers, users and simulated services."""
-        await self.wire.close_clients()
+        await self.links.close_clients()
         await self.users.aclose()
 
     # Processes
@@ -347,13 +347,13 @@
     async def serve(self) -> None:
         """Runs the simulated services until cancelled."""
         for index, address in enumerate(self.state_addresses):
-            self.wire.handlers[address] = self.store.handler_for(f"n{index}")
-        self.wire.handlers[self.cloud_address] = self.cloud.handle
+            self.links.handlers[address] = self.store.handler_for(f"n{index}")
+        self.links.handlers[self.cloud_address] = self.cloud.handle
         async with curio.TaskGroup(wait=any) as group:
-            for task in (self.wire.run, self.cloud.run, self.world.watch):
+            for task in (self.links.run, self.cloud.run, self.world.watch):
                 await group.spawn(task)
 
-    async def operate(self, *words: str) -> str:
+    async def run_operator_command(self, *words: str) -> str:
         """Runs an operators' command and returns its output; raises AssertionError if the command fails."""
         self._spawn("operator", *words, "--config", str(self._platform(0)))
         process = self.processes["operator"]
@@ -397,7 +397,7 @@
         body = self.register_job(job)
         self.log.tasks[job.ref] = job.tasks if job.kind == "batch" else 0
         while self.clock.now < until:
-            status, _ = await self._ask("POST", "/submissions", body)
+            status, _ = await self._request("POST", "/submissions", body)
             if status in (200, 201):
                 self._note(ACCEPTED, job.ref)
                 break
@@ -407,13 +407,13 @@
             await curio.sleep(0.3 + 0.2 * self.random.random())
 
     async def _poll(self, job_id: str) -> None:
-        status, answer = await self._ask("GET", f"/submissions/{job_id}", b"")
+        status, answer = await self._request("GET", f"/submissions/{job_id}", b"")
         if status == 200:
-            self._note(TOLD, job_id, answer["standing"])
+            self._note(REPORTED, job_id, answer["standing"])
         elif status == 404:
-            self._note(TOLD, job_id, "unknown")
+            self._note(REPORTED, job_id, "unknown")
 
-    async def _ask(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
+    async def _request(self, method: str, target: str, body: bytes) -> tuple[int, Any]:
         """Sends a user's request, or waits first while users are paused."""
         while self._users_paused:
             await curio.sleep(0.05)
@@ -426,9 +426,11 @@
     async def pause_users(self, limit_s: float) -> None:
         """Pauses users' requests and waits until all answers that they have received are archived."""
         self._users_paused = True
-        await self.until(lambda: not self._requests_in_flight, limit_s, "answers to all requests under way")
+        await self.wait_until(lambda: not self._requests_in_flight, limit_s, "answers to all requests under way")
         told_at = self.store.revision
-        await self.until(lambda: self.archived_revision() >= told_at, limit_s, f"an archive up to revision {told_at}")
+        await self.wait_until(
+            lambda: self.archived_revision() >= told_at, limit_s, f"an archive up to revision {told_at}"
+        )
 
     def resume_users(self) -> None:
         """Ends the pause of users' requests."""
@@ -444,11 +446,11 @@
 
     async def cancel(self, job_id: str, until: float) -> None:
         """Requests the cancellation of a job until it is confirmed, up to the time `until`."""
-        self._note(ASKED_TO_CANCEL, job_id)
+        self._note(CANCEL_REQUESTED, job_id)
         while self.clock.now < until:
-            status, answer = await self._ask("POST", f"/submissions/{job_id}/cancel", b"{}")
+            status, answer = await self._request("POST", f"/submissions/{job_id}/cancel", b"{}")
             if status == 200:
-                self._note(TOLD, job_id, answer["standing"])
+                self._note(REPORTED, job_id, answer["standing"])
                 return
             await curio.sleep(0.3)
 
@@ -459,7 +461,7 @@
             return 0
         return int(current[0]["number"])
 
-    async def until(self, condition: Callable[[], bool], limit_s: float, what: str) -> None:
+    async def wait_until(self, condition: Callable[[], bool], limit_s: float, what: str) -> None:
         """Waits for a condition; raises AssertionError after `limit_s`, or when a process has ended by itself.
 
         The limit is meant to be so generous that only a defect reaches it.
@@ -475,9 +477,9 @@
 
     def settled(self) -> bool:
         """Returns whether the last answer on every batch job is final, and on every service is running or aborted."""
-        told: dict[str, str] = {e.job: e.detail for e in self.log.events if e.kind == TOLD}
+        reported: dict[str, str] = {e.job: e.detail for e in self.log.events if e.kind == REPORTED}
         return all(
-            told.get(job) in (("done", "aborted") if tasks else ("running", "aborted"))
+            reported.get(job) in (("done", "aborted") if tasks else ("running", "aborted"))
             for job, tasks in self.log.tasks.items()
         )
 
@@ -528,7 +530,7 @@
             await task.cancel()
 
 
-def play(installation: Installation, script: Callable[[Installation], Awaitable[None]]) -> None:
+def run_script(installation: Installation, script: Callable[[Installation], Awaitable[None]]) -> None:
     """Runs a coroutine function on an installation, and then ends every process that it started."""
 
     async def main() -> None:
--- a/tests/sim/measure_recovery.py
+++ b/tests/sim/measure_recovery.py
@@ -33,10 +33,10 @@
 from spurarch.storage.history import ARCHIVED
 from spurarch.storage.records import ASSIGNED, AllocationRecord, FinalRecord, JobRecord, TaskEntry
 from spurarch.storage.seeds import SeedRecord, pack
-from tests.outcomes import STARTED, TOLD, check, repeated_starts
-from tests.sim.loopback import Installation, Job, LoopbackSettings, play
-from tests.sim.recovery import RecoveryPlay
-from tests.sim.scenario import Play
+from tests.outcomes import REPORTED, STARTED, check, repeated_starts
+from tests.sim.loopback import Installation, Job, LoopbackSettings, run_script
+from tests.sim.recovery import RecoveryScenarioRun
+from tests.sim.scenario import ScenarioRun
 from tests.sim.scenario_text import Scenario
 
 LIMIT_S = 240.0
@@ -65,7 +65,7 @@
     settings = LoopbackSettings(machines=machines, seed=seed, capacity=machines, teams={"t": 1e6})
 
     async def script(installation: Installation) -> None:
-        await installation.operate("recovery", "init")
+        await installation.run_operator_command("recovery", "init")
         installation.start_archiver()
         for index in range(settings.controllers):
             installation.start_controller(index)
@@ -75,7 +75,7 @@
             await curio.spawn(installation.submit, job, until, daemon=True)
         share = 0.2 + 0.6 * random.random()
         wanted = int(share * min(jobs * TASKS, 4 * machines))
-        await installation.until(
+        await installation.wait_until(
             lambda: sum(e.kind == STARTED for e in installation.log.events) >= wanted, LIMIT_S, "starts"
         )
         if kind == "all ended":
@@ -86,23 +86,23 @@
         if kind == "all ended":
             for index in range(settings.controllers):
                 installation.start_controller(index)
-        await installation.until(
+        await installation.wait_until(
             lambda: installation.users.refused > refused or installation.history_number() == 2, LIMIT_S, "a refusal"
         )
         out.refused_s = installation.clock.now - lost_at
-        await installation.until(lambda: installation.history_number() == 2, LIMIT_S, "history 2")
+        await installation.wait_until(lambda: installation.history_number() == 2, LIMIT_S, "history 2")
         out.opened_s = installation.clock.now - lost_at
-        await installation.until(installation.settled, LIMIT_S, "final answers")
-        finals = {e.job: e.at for e in reversed(installation.log.events) if e.kind == TOLD and e.detail == "done"}
+        await installation.wait_until(installation.settled, LIMIT_S, "final answers")
+        finals = {e.job: e.at for e in reversed(installation.log.events) if e.kind == REPORTED and e.detail == "done"}
         out.last_final_s = max(finals.values()) - lost_at
         await curio.sleep(1.0)
         out.repeated, out.problems = (
             repeated_starts(installation.log),
-            check(installation.log) + installation.world.rules.broken,
+            check(installation.log) + installation.world.checks.violations,
         )
 
     with tempfile.TemporaryDirectory() as directory:
-        play(Installation(settings, Path(directory)), script)
+        run_script(Installation(settings, Path(directory)), script)
     return out
 
 
@@ -210,42 +210,42 @@
     """Measures how waiting for the archive adds to heartbeats and changes, with 60 arrays of 4 tasks in a minute."""
     jobs = "".join(f"at {2 + n} submit job-{n + 1} tasks=4 run=3,5,7\n" for n in range(60))
     scenario = Scenario.parse(SCENARIO_TEXT + jobs + "end 90\n", {})
-    played = RecoveryPlay(scenario) if kind != "off" else Play(scenario)
+    scenario_run = RecoveryScenarioRun(scenario) if kind != "off" else ScenarioRun(scenario)
     if kind == "waits for nothing":
-        played.tuning.archive_timeout_s = 1e-6
-    played.run()
-    reports = [body for worker in played.world.workers.values() for _, body in worker.sent_heartbeats]
-    published = sum(event.get("write") == ARCHIVED for _, event in played.store.events)
+        scenario_run.tuning.archive_timeout_s = 1e-6
+    scenario_run.run()
+    reports = [body for worker in scenario_run.world.workers.values() for _, body in worker.sent_heartbeats]
+    published = sum(event.get("write") == ARCHIVED for _, event in scenario_run.store.events)
     return {
         "recovery": kind,
         "reports": len(reports),
         "bytes a report": sum(map(len, reports)) / len(reports),
         "ended tasks a report": sum(body.count(b'"ended"') for body in reports) / len(reports),
         "most ended tasks": max(body.count(b'"ended"') for body in reports),
-        "changes": sum(len(body["then"]) for body in played.store._carried),
+        "changes": sum(len(body["then"]) for body in scenario_run.store._applied),
         "of them published progress": published,
-        "problems": len(played.problems),
+        "problems": len(scenario_run.problems),
     }
 
 
 def answer_wait(archived: bool) -> dict[str, object]:
     """Measures how long users wait for answers, archived or not, in virtual time and with the same jobs."""
     jobs = "".join(f"at {2 + n} submit job-{n + 1} tasks=4 run=3,5,7\n" for n in range(60))
-    played = RecoveryPlay(
+    scenario_run = RecoveryScenarioRun(
         Scenario.parse(("answers archived\n" if archived else "") + SCENARIO_TEXT + jobs + "end 90\n", {})
     )
     waits: dict[str, list[float]] = {"POST": [], "GET": []}
-    ask = played._ask
+    ask = scenario_run._request
 
     async def timed(method: str, target: str, body: bytes, node: str | None = None) -> tuple[int, dict[str, Any]]:
-        began = played.clock.now
+        began = scenario_run.clock.now
         answer = await ask(method, target, body, node)
-        waits[method].append(played.clock.now - began)
+        waits[method].append(scenario_run.clock.now - began)
         return answer
 
-    played._ask = timed  # type: ignore[method-assign]
-    played.run()
-    out: dict[str, object] = {"answers archived": archived, "problems": len(played.problems)}
+    scenario_run._request = timed  # type: ignore[method-assign]
+    scenario_run.run()
+    out: dict[str, object] = {"answers archived": archived, "problems": len(scenario_run.problems)}
     for method, found in waits.items():
         found.sort()
         out[method] = {
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -30,7 +30,7 @@
     mode: str
 
 
-class Wire:
+class SimLinks:
     """All links between hosts."""
 
     def __init__(self, clock: Clock, random: Random) -> None:
@@ -39,7 +39,9 @@
         self.handlers: dict[str, Handler] = {}  # address -> server
         self.peer_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]] = {}  # address -> server of peer frames
         self.link_faults: list[LinkFault] = []
-        self.doors: dict[str, Callable[[str], Handler]] = {}  # address -> function from client host to server
+        self.handlers_by_client: dict[
+            str, Callable[[str], Handler]
+        ] = {}  # address -> function from client host to server
         self.slow_until, self.slow_s = 0.0, 0.0
 
     def latency_s(self) -> float:
@@ -78,7 +80,7 @@
             response: Response = await curio.timeout_after(max(0.001, end - self.clock.now), handler, request)
         except curio.TaskTimeout:
             raise NoAnswerError("timed out", True) from None
-        if self.handlers.get(address) is not handler and address not in self.doors:
+        if self.handlers.get(address) is not handler and address not in self.handlers_by_client:
             raise NoAnswerError("reset", True)  # the server ended meanwhile
         if self.active_fault(source, target) is not None:
             await curio.sleep(max(0.0, end - self.clock.now))
@@ -87,7 +89,7 @@
 
     def handler(self, source: str, address: str) -> Handler | None:
         """Returns the server at an address, or None; some servers have a handler for each client host."""
-        handler_for = self.doors.get(address)
+        handler_for = self.handlers_by_client.get(address)
         return handler_for(source) if handler_for is not None else self.handlers.get(address)
 
     async def _deliver_late(self, fault: LinkFault, source: str, address: str, request: Request) -> None:
@@ -100,13 +102,13 @@
 class SimClient:
     """A client on one host of the server at one address."""
 
-    def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
-        self._network, self._wire, self._source, self._address = network, wire, source, address
+    def __init__(self, network: SimNetwork, links: SimLinks, source: str, address: str) -> None:
+        self._network, self._links, self._source, self._address = network, links, source, address
 
     async def request(self, method: str, target: str, body: bytes | None, timeout_s: float) -> tuple[int, bytes]:
         """Sends a request, like HttpClient.request."""
         await self._network.block_if_ended()
-        response = await self._wire.request(
+        response = await self._links.request(
             self._source, self._address, Request(method, target, body or b""), timeout_s
         )
         await self._network.block_if_ended()
@@ -133,17 +135,17 @@
 class SimPeerClient:
     """A client of a peer's frame server."""
 
-    def __init__(self, network: SimNetwork, wire: Wire, source: str, address: str) -> None:
-        self._network, self._wire, self._source, self._address = network, wire, source, address
+    def __init__(self, network: SimNetwork, links: SimLinks, source: str, address: str) -> None:
+        self._network, self._links, self._source, self._address = network, links, source, address
 
     async def call(self, frame: bytes, timeout_s: float) -> bytes | None:
         """Sends a frame, like FrameClient.call; returns None if there is no response."""
         await self._network.block_if_ended()
-        wire = self._wire
-        handler = wire.peer_handlers.get(self._address)
-        if handler is None or wire.active_fault(self._source, wire.hosts[self._address]) is not None:
+        links = self._links
+        handler = links.peer_handlers.get(self._address)
+        if handler is None or links.active_fault(self._source, links.hosts[self._address]) is not None:
             return None
-        await curio.sleep(wire.latency_s())
+        await curio.sleep(links.latency_s())
         try:
             return await curio.timeout_after(timeout_s, handler, frame)  # type: ignore[no-any-return]
         except curio.TaskTimeout:
@@ -153,8 +155,8 @@
 class SimNetwork(Network):
     """The simulated network as one host reaches it."""
 
-    def __init__(self, wire: Wire, host: str) -> None:
-        self._wire, self._host = wire, host
+    def __init__(self, links: SimLinks, host: str) -> None:
+        self._links, self._host = links, host
         self.ended = False
 
     async def block_if_ended(self) -> None:
@@ -163,13 +165,13 @@
             await curio.sleep(1e6)
 
     def client(self, address: str, max_connections: int) -> SimClient:
-        return SimClient(self, self._wire, self._host, address)
+        return SimClient(self, self._links, self._host, address)
 
     def server(self, address: str, handler: Handler, max_connections: int) -> SimServer:
-        return SimServer(self._wire.handlers, address, handler)  # type: ignore[arg-type]
+        return SimServer(self._links.handlers, address, handler)  # type: ignore[arg-type]
 
     def peer_client(self, address: str) -> SimPeerClient:
-        return SimPeerClient(self, self._wire, self._host, address)
+        return SimPeerClient(self, self._links, self._host, address)
 
     def peer_server(self, address: str, handler: Callable[[bytes], Awaitable[bytes]], max_open: int) -> SimServer:
-        return SimServer(self._wire.peer_handlers, address, handler)  # type: ignore[arg-type]
+        return SimServer(self._links.peer_handlers, address, handler)  # type: ignore[arg-type]
--- a/tests/sim/random_days.py
+++ b/tests/sim/random_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays randomly drawn scenarios ("days"): a few fixed ones in every test run, or new ones on request."""
+"""Runs randomly drawn scenarios: a few fixed ones in every test run, or new ones on request."""
 
 from __future__ import annotations
 
@@ -10,18 +10,22 @@
 from tests.sim.scenario_text import Scenario, options
 
 
-def last_trouble(scenario: Scenario) -> float:
+def last_fault_end(scenario: Scenario) -> float:
     """Returns when the last action of a scenario, with its duration, is over, in seconds."""
     return max(at + float(options(words).get("for", 0)) for at, words in scenario.actions)
 
 
-def play_days(
-    days: st.SearchStrategy[str], play: Callable[[str], list[str]], group: int, fixed_count: int, new_count: int
+def play_random_scenarios(
+    scenarios: st.SearchStrategy[str],
+    run_scenario: Callable[[str], list[str]],
+    group: int,
+    fixed_count: int,
+    new_count: int,
 ) -> None:
-    """Plays days and fails with the text of one that has problems.
+    """Runs scenarios and fails with the text of one that has problems.
 
-    Plays `fixed_count` days, drawn with `group` as the seed. If `new_count` is not 0, plays that many new days instead,
-    and shrinks one that fails.
+    Runs `fixed_count` scenarios, drawn with `group` as the seed. If `new_count` is not 0, runs that many new ones
+    instead, and shrinks one that fails.
     """
 
     @settings(
@@ -32,8 +36,8 @@
         phases=[Phase.generate, Phase.shrink] if new_count else [Phase.generate],
         suppress_health_check=list(HealthCheck),
     )
-    @given(days)
+    @given(scenarios)
     def play_day(text: str) -> None:
-        assert play(text) == [], text
+        assert run_scenario(text) == [], text
 
     (play_day if new_count else seed(group)(play_day))()
--- a/tests/sim/recovery.py
+++ b/tests/sim/recovery.py
@@ -44,13 +44,13 @@
 from spurarch.storage.store import Store
 from tests.sim.fleet import MachineType
 from tests.sim.net import SimNetwork
-from tests.sim.scenario import STATE, Play
+from tests.sim.scenario import STATE_ADDRESS, ScenarioRun
 from tests.sim.scenario_text import Scenario
 
 ARCHIVE = "10.0.9.9:8090"
 
 
-class RecoveryPlay(Play):
+class RecoveryScenarioRun(ScenarioRun):
     """A run of a scenario whose controllers have recovery."""
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
@@ -58,7 +58,7 @@
         super().__init__(scenario, seed)
         self.tuning.recovery = True
         self.tuning.archive_address = ARCHIVE if self._has_archiver else ""
-        self.wire.hosts[ARCHIVE] = "archive"
+        self.links.hosts[ARCHIVE] = "archive"
         self.saved: dict[str, tuple[int, dict[str, Any]]] = {}
         self.archiver: Any = None
         self.archive_network: SimNetwork | None = None
@@ -112,8 +112,8 @@
             super().run()
 
     async def _main(self) -> None:
-        network = SimNetwork(self.wire, "operator")
-        store = Store(network.client(STATE, 1), self.platform(0).deployment.state, 1)
+        network = SimNetwork(self.links, "operator")
+        store = Store(network.client(STATE_ADDRESS, 1), self.platform(0).deployment.state, 1)
         await declare_first_history(store, False, self._answers_archived)
         if self._has_archiver:
             await self.start_archiver()
@@ -123,7 +123,7 @@
     async def start_archiver(self) -> None:
         """Starts the archiver on its directory, as the previous process left it."""
         assert self.root is not None
-        self.archive_network = SimNetwork(self.wire, "archive")
+        self.archive_network = SimNetwork(self.links, "archive")
         self.archiver = await curio.spawn(
             commands.serve, self.platform(0), self.root, ARCHIVE, self.archive_network, daemon=True
         )
@@ -132,7 +132,7 @@
         """Ends the archiver without any cleanup."""
         assert self.archive_network is not None
         self.archive_network.ended = True
-        self.wire.handlers.pop(ARCHIVE, None)
+        self.links.handlers.pop(ARCHIVE, None)
         await self.archiver.cancel(blocking=False)
 
     async def _act(self, words: list[str]) -> None:
@@ -143,15 +143,15 @@
         elif action == "save":
             self.saved[args[0]] = self.store.revision, dict(self.store.keys)
         elif action == "restore":
-            self.store.go_back_to(*self.saved[args[0]])
+            self.store.restore(*self.saved[args[0]])
         elif action == "lose":
             for key in [key for key in self.store.keys if key.startswith(args[0])]:
                 del self.store.keys[key]
         elif action == "repeat-all":
             self.store.repeat_all(HISTORY)
         elif action == "settle":
-            network = SimNetwork(self.wire, "operator")
-            store = Store(network.client(STATE, 1), self.platform(0).deployment.state, 1)
+            network = SimNetwork(self.links, "operator")
+            store = Store(network.client(STATE_ADDRESS, 1), self.platform(0).deployment.state, 1)
             await resolve_job(store, args[0], args[1])
         elif action == "stop-archiver":
             await self.stop_archiver()
@@ -170,14 +170,14 @@
         if kind == "recovered":
             return len(self.recovered) == int(args[0])
         if kind == "answered":
-            return int(args[0]) in self.answers
+            return int(args[0]) in self.submission_statuses
         if kind == "began":
-            starts = self.world.rules.starts
+            starts = self.world.checks.starts
             return sum(n for task, n in starts.items() if task.startswith(args[0] + "/")) == int(args[1])
         if kind == "on-record":
             return self.final(args[0]) == " ".join(args[1:])
         if kind == "never-told":
-            return args[1] not in self.told.get(args[0], [])
+            return args[1] not in self.answers_by_job.get(args[0], [])
         return super()._expectation_holds(words)
 
     def final(self, job: str) -> str:
--- a/tests/sim/scenario.py
+++ b/tests/sim/scenario.py
@@ -6,7 +6,7 @@
     at SECONDS ACTION ...      happens at that time
     expect EXPECTATION ...     is checked at the end, see scenario_checks.py
     end SECONDS                ends the scenario (default: 60)
-    vary NAME VALUE...         plays the scenario once for each value; `{NAME}` and `{NAME+0.2}` stand for it
+    vary NAME VALUE...         runs the scenario once for each value; `{NAME}` and `{NAME+0.2}` stand for it
 
 Setup words:
 
@@ -99,25 +99,25 @@
 from tests.sim import scenario_checks
 from tests.sim.clock import Clock
 from tests.sim.fleet import MachineType, SimCloud, World
-from tests.sim.net import LinkFault, SimNetwork, Wire
+from tests.sim.net import LinkFault, SimLinks, SimNetwork
 from tests.sim.scenario_text import Scenario, options
-from tests.sim.store import FakeStore
+from tests.sim.store import SimStateService
 
 MAX_UNANSWERED_S = 75.0  # of status requests for a job, not counting injected faults
-STATE, CLOUD = "10.2.0.1:2379", "10.2.0.2:8443"
+STATE_ADDRESS, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
 
 # Attributes by the name of the setting, with underscores for hyphens.
 TUNING_ATTRIBUTES = {f.encode_name.replace("-", "_"): f.name for f in msgspec.structs.fields(Tuning)}
 
 
-class Play:
+class ScenarioRun:
     """One run of a scenario; `problems` lists everything that went wrong."""
 
     def __init__(self, scenario: Scenario, seed: int = 1) -> None:
         self.scenario = scenario
         self.clock = Clock()
         self.random, self.boot_random = Random(seed), Random(seed + 2)
-        self.wire = Wire(self.clock, self.random)
+        self.links = SimLinks(self.clock, self.random)
         self.zones = ["a", "b", "c"]
         self.teams: list[Team] = []
         self.limits = {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 30.0, "rps": 200.0, "write_rps": 80.0}
@@ -130,9 +130,9 @@
         self.controllers: dict[str, Controller] = {}
         self.started: list[Controller] = []  # all that were ever started, in order
         self.networks: dict[str, SimNetwork] = {}
-        self.told: dict[str, list[str]] = {}  # by job: answers to its user; by "JOB asked": cancelled
+        self.answers_by_job: dict[str, list[str]] = {}  # by job: answers to its user; by "JOB asked": cancelled
         self.problems: list[str] = []
-        self.answers: list[int] = []  # status codes of submissions
+        self.submission_statuses: list[int] = []  # status codes of submissions
         self.answered_at: dict[str, float] = {}  # by job: time of the latest answer to a status request
         self.faults_end_at = 0.0  # when the latest injected fault ends
         self.leaders_ended = 0
@@ -141,19 +141,21 @@
         for words in scenario.setup:
             self._set_up(words, kinds, machines)
         self.nodes = [(f"n{i}", f"10.0.0.{i + 1}:8080") for i in range(self.count)]
-        self.store = FakeStore(self.clock, Random(seed + 1), self.limits["rps"], self.limits["write_rps"], 8.0, 24)
+        self.store = SimStateService(
+            self.clock, Random(seed + 1), self.limits["rps"], self.limits["write_rps"], 8.0, 24
+        )
         self.store.page_items = self.page_items
         self.world = World(
-            self.clock, self.wire, self.limits["report_s"], self.limits["lease_s"], self.limits["cancel_s"]
+            self.clock, self.links, self.limits["report_s"], self.limits["lease_s"], self.limits["cancel_s"]
         )
         self.world.limits = {t.name: t.quota_cpus for t in self.teams}
         self.cloud = SimCloud(self.world, self.zones, self.nodes, 5.0)
         self.cloud.kinds = {k.name: k for k in kinds}
         self.machines = machines
-        self.wire.hosts |= {STATE: "store", CLOUD: "cloud"} | {addr: node for node, addr in self.nodes}
-        self.wire.hosts |= {f"10.0.0.{i + 1}:8081": f"n{i}" for i in range(self.count)}
-        self.wire.handlers[CLOUD] = self.cloud.handle
-        self.wire.doors[STATE] = self.store.handler_for
+        self.links.hosts |= {STATE_ADDRESS: "store", CLOUD_ADDRESS: "cloud"} | {addr: node for node, addr in self.nodes}
+        self.links.hosts |= {f"10.0.0.{i + 1}:8081": f"n{i}" for i in range(self.count)}
+        self.links.handlers[CLOUD_ADDRESS] = self.cloud.handle
+        self.links.handlers_by_client[STATE_ADDRESS] = self.store.handler_for
 
     def _set_up(self, words: list[str], kinds: list[MachineType], machines: list[list[str]]) -> None:
         opts = options(words)
@@ -215,14 +217,14 @@
             self.zones[index % len(self.zones)],
             self.nodes[index][1],
             f"10.0.0.{index + 1}:8081",
-            External(CLOUD, STATE),
+            External(CLOUD_ADDRESS, STATE_ADDRESS),
             deployment,
             peers,
         )
 
     async def start(self, node: str) -> None:
         """Starts a controller."""
-        network = self.networks[node] = SimNetwork(self.wire, node)
+        network = self.networks[node] = SimNetwork(self.links, node)
         boot = f"{self.boot_random.getrandbits(64):016x}"  # seeded, so that two runs of the same scenario are equal
         version = records.GANG_VERSION - 1 if node in self.earlier_version_nodes else records.PROGRAM_VERSION
         controller = self.controllers[node] = self.controller(node, network, boot, version)
@@ -238,7 +240,7 @@
         task = self.running.pop(node, None)
         if task is not None:
             self.networks[node].ended = True
-        self.wire.handlers.pop(dict(self.nodes)[node], None)
+        self.links.handlers.pop(dict(self.nodes)[node], None)
         if task is not None:
             await task.cancel(blocking=False)
 
@@ -292,15 +294,15 @@
                 await self._act(["kill", node, *args])
         elif action == "alone":
             for host in ["store", *(node for node, _ in self.nodes if node != args[0])]:
-                self.wire.link_faults.append(LinkFault(args[0], host, now + float(opts["for"]), "drop"))
+                self.links.link_faults.append(LinkFault(args[0], host, now + float(opts["for"]), "drop"))
         elif action == "cut":
-            self.wire.link_faults.append(
+            self.links.link_faults.append(
                 LinkFault(args[0], args[1], now + float(opts["for"]), opts.get("mode", "drop"))
             )
         elif action == "outage":
             self.store.outage(float(opts["for"]))
         elif action == "refuse":
-            self.store.refused[args[0]] = now + float(opts["for"])
+            self.store.refused_until[args[0]] = now + float(opts["for"])
         elif action == "slow-writes":
             self.store.slow_writes[args[0]] = now + float(opts["for"]), float(opts["by"])
         elif action == "slow-pages":
@@ -316,7 +318,7 @@
             if again:
                 self.problems.append(f"carried out a second time: {again}")
         elif action == "slow-links":
-            self.wire.slow_until, self.wire.slow_s = now + float(opts["for"]), float(opts["by"])
+            self.links.slow_until, self.links.slow_s = now + float(opts["for"]), float(opts["by"])
         elif action == "kill-leader":
             leader = next((n for n in self.running if self.controllers[n].membership.leading), None)
             if leader is None:
@@ -330,7 +332,7 @@
             self.world.late_heartbeats_until = now + float(opts["for"])
             self.world.late_heartbeats_share = float(opts["share"])
         elif action == "mute":
-            self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "mute"))
+            self.links.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "mute"))
         elif action == "cancel-at-end":
             await curio.spawn(self._cancel_ended_jobs, now + float(opts["for"]), daemon=True)
         elif action == "again":
@@ -340,7 +342,7 @@
         elif action == "die":
             self.world.workers[args[0]].fail()
         elif action == "deafen":
-            self.wire.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "deaf"))
+            self.links.link_faults.append(LinkFault(args[0], "*", now + float(opts["for"]), "deaf"))
         elif action == "copies":
             worker = self.world.workers[args[0]]
             address = dict(self.nodes)[opts["node"]] if "node" in opts else None
@@ -356,7 +358,7 @@
             inside = {f"n{i}" for i in range(self.count) if self.zones[i % len(self.zones)] == args[0]}
             outside = [node for node, _ in self.nodes if node not in inside]
             hosts = [w.name for w in self.world.workers.values() if w.zone == args[0]] + sorted(inside)
-            self.wire.link_faults += [
+            self.links.link_faults += [
                 LinkFault(host, node, now + float(opts["for"]), opts.get("mode", "drop"))
                 for host in hosts
                 for node in outside
@@ -383,27 +385,33 @@
 
     # Users
 
-    async def _ask(self, method: str, target: str, body: bytes, node: str | None = None) -> tuple[int, dict[str, Any]]:
+    async def _request(
+        self, method: str, target: str, body: bytes, node: str | None = None
+    ) -> tuple[int, dict[str, Any]]:
         names = [node] if node else self.random.sample([n for n, _ in self.nodes], len(self.nodes))
         for name in names:
             address = dict(self.nodes)[name]
-            if address not in self.wire.handlers:
+            if address not in self.links.handlers:
                 continue
             try:
-                response = await self.wire.request("users", address, Request(method, target, body), 5.0)
+                response = await self.links.request("users", address, Request(method, target, body), 5.0)
             except NoAnswerError:
                 return 504, {}
             return response.status, json.loads(response.body)
         return 504, {}
 
     def _check_answer(self, job_id: str, state: str) -> None:
-        answers = self.told.setdefault(job_id, [])
+        answers = self.answers_by_job.setdefault(job_id, [])
         final = [s for s in answers if s in ("done", "aborted")]
         if final and state != final[0]:
             self.problems.append(f"went_back: {job_id} was {final[0]}, now {state}")
         if state == "done" and len(self.world.done.get(job_id, set())) < self.world.jobs[job_id]["legs"]:
             self.problems.append(f"not_done: {job_id}")
-        if state == "aborted" and job_id not in self.world.cancelled_at and not self.told.get(job_id + " asked"):
+        if (
+            state == "aborted"
+            and job_id not in self.world.cancelled_at
+            and not self.answers_by_job.get(job_id + " asked")
+        ):
             self.problems.append(f"went_back: {job_id} was never cancelled")
         answers.append(state)
 
@@ -437,30 +445,30 @@
             self.world.faulty.add(job_id)
         body = json.dumps(spec).encode()
         for _ in range(60):
-            status, _answer = await self._ask("POST", "/submissions", body, opts.get("node"))
-            self.answers.append(status)
+            status, _answer = await self._request("POST", "/submissions", body, opts.get("node"))
+            self.submission_statuses.append(status)
             if status in (200, 201):
-                self.told.setdefault(job_id, []).append("accepted")
+                self.answers_by_job.setdefault(job_id, []).append("accepted")
                 break
             if status in (400, 422):
-                self.told.setdefault(job_id, []).append(str(status))
+                self.answers_by_job.setdefault(job_id, []).append(str(status))
                 return
             await curio.sleep(1.0)
         while True:
             await curio.sleep(2.0)
-            status, answer = await self._ask("GET", f"/submissions/{job_id}", b"")
+            status, answer = await self._request("GET", f"/submissions/{job_id}", b"")
             if status == 200:
                 self.answered_at[job_id] = self.clock.now
                 self._check_answer(job_id, answer["standing"])
             elif self.clock.now - max(self.answered_at.get(job_id, 0.0), self.faults_end_at) > MAX_UNANSWERED_S:
                 self.problems.append(f"forgotten: no question about {job_id} was answered for {MAX_UNANSWERED_S:.0f} s")
-            elif status == 404 and self.told.get(job_id):
+            elif status == 404 and self.answers_by_job.get(job_id):
                 self.problems.append(f"forgotten: {job_id} got 404")
 
     async def _cancel(self, job_id: str, node: str | None) -> None:
-        self.told[job_id + " asked"] = ["yes"]
+        self.answers_by_job[job_id + " asked"] = ["yes"]
         for _ in range(60):
-            status, answer = await self._ask("POST", f"/submissions/{job_id}/cancel", b"{}", node)
+            status, answer = await self._request("POST", f"/submissions/{job_id}/cancel", b"{}", node)
             if status == 200:
                 if answer["standing"] == "aborted":
                     self.world.cancelled_at.setdefault(job_id, self.clock.now)
@@ -477,7 +485,7 @@
 
     async def _repeat_submission(self, job_id: str, expected: int, node: str | None) -> None:
         """Repeats a submission. 503 and 504 are accepted too; a state must be consistent with earlier answers."""
-        status, answer = await self._ask("POST", "/submissions", json.dumps(self.world.jobs[job_id]).encode(), node)
+        status, answer = await self._request("POST", "/submissions", json.dumps(self.world.jobs[job_id]).encode(), node)
         if status == 200:
             self._check_answer(job_id, answer["standing"])
         if status not in (expected, 503, 504):
@@ -486,7 +494,7 @@
     async def _send_raw_request(self, args: list[str]) -> None:
         """Sends one request, `METHOD TARGET STATUS [BODY]`, and checks its status."""
         body = args[3].encode() if len(args) > 3 else b""
-        status, _ = await self._ask(args[0], args[1], body)
+        status, _ = await self._request(args[0], args[1], body)
         if status != int(args[2]):
             self.problems.append(f"{args[0]} {args[1]}: {status} instead of {args[2]}")
 
@@ -496,13 +504,13 @@
         await scenario_checks.watch_records(self)
 
     def _check(self) -> None:
-        self.problems += self.world.rules.broken + self.store.faults
+        self.problems += self.world.checks.violations + self.store.faults
         for controller in self.started:
             self.problems += controller.view.ledger.violations.messages
         for words in self.scenario.expects:
             text = " ".join(words)
             if not self._expectation_holds(words):
-                self.problems.append(f"expected: {text}; told {self.told}")
+                self.problems.append(f"expected: {text}; told {self.answers_by_job}")
 
     def _expectation_holds(self, words: list[str]) -> bool:
         return scenario_checks.expectation_holds(self, words)
--- a/tests/sim/scenario_checks.py
+++ b/tests/sim/scenario_checks.py
@@ -47,51 +47,53 @@
 from tests.sim.store import MAX_TRANSACTION_DELAY_S
 
 if TYPE_CHECKING:
-    from tests.sim.scenario import Play
+    from tests.sim.scenario import ScenarioRun
 
 RECORD_REMOVAL_S, MAX_RECORD_RETURNS = 3.0, 3
 FIND_CONTROLLER_S = 5.5  # longest time in which a worker finds another controller
 
 
-def condition_holds(play: Play, words: list[str]) -> bool:
+def condition_holds(scenario_run: ScenarioRun, words: list[str]) -> bool:
     """Returns whether a condition of `sure` holds now; a leading `not` inverts it."""
     if words[0] == "not":
-        return not condition_holds(play, words[1:])
+        return not condition_holds(scenario_run, words[1:])
     kind, *args = words
     if kind == "confirmed":
-        return args[0] in play.world.cancelled_at
+        return args[0] in scenario_run.world.cancelled_at
     if kind == "runs":
-        return any(task.name.startswith(args[0] + "/") for _, task in play.world.on_machines())
+        return any(task.name.startswith(args[0] + "/") for _, task in scenario_run.world.on_machines())
     if kind == "up":
-        return args[0] in play.running
+        return args[0] in scenario_run.running
     if kind == "leads":
-        return args[0] in play.running and play.controllers[args[0]].membership.leading
+        return args[0] in scenario_run.running and scenario_run.controllers[args[0]].membership.leading
     if kind == "holds":
-        value = play.store.keys.get(f"live/part/{args[1]}")
+        value = scenario_run.store.keys.get(f"live/part/{args[1]}")
         return value is not None and value[0]["node"] == args[0]
     if kind == "copied":
-        record = play.controllers[args[0]].replica.state.jobs.get(args[1])
+        record = scenario_run.controllers[args[0]].replica.state.jobs.get(args[1])
         return record is not None and record.cancelled
     if kind == "heard":
-        return args[1] in play.controllers[args[0]].reachability.reported_cancellations
+        return args[1] in scenario_run.controllers[args[0]].reachability.reported_cancellations
     if kind == "runs-all":
-        job = play.world.jobs[args[0]]
-        states = [task.state for _, task in play.world.on_machines() if task.name.startswith(args[0] + "/")]
+        job = scenario_run.world.jobs[args[0]]
+        states = [task.state for _, task in scenario_run.world.on_machines() if task.name.startswith(args[0] + "/")]
         return states == ["running"] * job["legs"]
     if kind == "gathers":
-        return any(t.name.startswith(args[0] + "/") and t.state == "gathering" for _, t in play.world.on_machines())
+        return any(
+            t.name.startswith(args[0] + "/") and t.state == "gathering" for _, t in scenario_run.world.on_machines()
+        )
     if kind == "answered":
-        return int(args[0]) in play.answers
+        return int(args[0]) in scenario_run.submission_statuses
     if kind in ("recorded", "unrecorded"):
-        return any(key.startswith(args[0]) for key in play.store.keys) == (kind == "recorded")
+        return any(key.startswith(args[0]) for key in scenario_run.store.keys) == (kind == "recorded")
     if kind == "known":
-        return args[1] in play.controllers[args[0]].replica.state.jobs
+        return args[1] in scenario_run.controllers[args[0]].replica.state.jobs
     if kind == "loaded":
-        return args[0] in play.running and play.controllers[args[0]].replica.loaded
+        return args[0] in scenario_run.running and scenario_run.controllers[args[0]].replica.loaded
     raise ValueError(f"unknown condition: {words}")
 
 
-async def watch_records(play: Play) -> None:
+async def watch_records(scenario_run: ScenarioRun) -> None:
     """Checks throughout the run that no released machine is recorded as open to tasks.
 
     During an outage of the state service, or while its responses are too slow, records can't be changed, so that time
@@ -99,76 +101,81 @@
     happens repeatedly is a fault. If all controllers end, none of them has the release in memory: after their restart
     they detect it by the missing heartbeats, as for any machine that has sent them none.
     """
-    silent_s = max(1.5 * play.limits["lease_s"], play.limits["cancel_s"] - play.limits["lease_s"] + FIND_CONTROLLER_S)
+    silent_s = max(
+        1.5 * scenario_run.limits["lease_s"],
+        scenario_run.limits["cancel_s"] - scenario_run.limits["lease_s"] + FIND_CONTROLLER_S,
+    )
     all_ended_at = float("-inf")
     record_versions: dict[str, tuple[int, float]] = {}  # by key: version of the record, and when it was first seen
     return_counts: dict[str, int] = {}
     while True:
         await curio.sleep(0.05)
-        if not play.running:
-            all_ended_at = play.clock.now
-        for key, (value, version, _) in play.store.keys.items():
+        if not scenario_run.running:
+            all_ended_at = scenario_run.clock.now
+        for key, (value, version, _) in scenario_run.store.keys.items():
             if key.startswith("live/machine/") and value["open"]:
                 name = key.rsplit("/", 1)[1]
-                gone_at = play.cloud.machines[name].get("gone_at", play.clock.now)
+                gone_at = scenario_run.cloud.machines[name].get("gone_at", scenario_run.clock.now)
                 if gone_at <= all_ended_at:
                     gone_at = all_ended_at + silent_s
-                gone_at = max(gone_at, play.store.outage_until, play.store.slow_until)
-                if play.clock.now <= gone_at:
-                    record_versions[key] = version, play.clock.now
+                gone_at = max(gone_at, scenario_run.store.outage_until, scenario_run.store.slow_until)
+                if scenario_run.clock.now <= gone_at:
+                    record_versions[key] = version, scenario_run.clock.now
                     continue
                 if record_versions.setdefault(key, (version, gone_at))[0] != version:
-                    record_versions[key] = version, play.clock.now
+                    record_versions[key] = version, scenario_run.clock.now
                     return_counts[key] = return_counts.get(key, 0) + 1
                 # The transaction that removes the record may itself be carried out late.
                 timeout_s = RECORD_REMOVAL_S + (
-                    MAX_TRANSACTION_DELAY_S if play.clock.now < play.store.late_until + MAX_TRANSACTION_DELAY_S else 0.0
+                    MAX_TRANSACTION_DELAY_S
+                    if scenario_run.clock.now < scenario_run.store.late_until + MAX_TRANSACTION_DELAY_S
+                    else 0.0
                 )
                 if (
-                    play.clock.now - max(gone_at, record_versions[key][1]) > timeout_s
+                    scenario_run.clock.now - max(gone_at, record_versions[key][1]) > timeout_s
                     or return_counts.get(key, 0) > MAX_RECORD_RETURNS
                 ):
-                    play.problems.append(f"revived: {name} at {play.clock.now - 1000:.2f}")
+                    scenario_run.problems.append(f"revived: {name} at {scenario_run.clock.now - 1000:.2f}")
                     return
 
 
-def expectation_holds(play: Play, words: list[str]) -> bool:
+def expectation_holds(scenario_run: ScenarioRun, words: list[str]) -> bool:
     """Returns whether an expectation is met at the end of a scenario."""
     kind, args = words[0], words[1:]
     if kind == "told":
-        return play.told.get(args[0], ["nothing"])[-1] == args[1]
+        return scenario_run.answers_by_job.get(args[0], ["nothing"])[-1] == args[1]
     if kind == "attempts":
-        return play.world.gangs.starts.get(args[0], 0) == int(args[1])
+        return scenario_run.world.gangs.starts.get(args[0], 0) == int(args[1])
     if kind == "orderly":
-        return play.world.gangs.orderly.get(args[0], 0) == int(args[1])
+        return scenario_run.world.gangs.orderly.get(args[0], 0) == int(args[1])
     if kind == "on":
-        found = [t for _, t in play.world.on_machines() if t.name.startswith(args[0] + "/")]
+        found = [t for _, t in scenario_run.world.on_machines() if t.name.startswith(args[0] + "/")]
         return len(found) == int(args[1])
     if kind == "begun":
-        began = play.world.first_started_at.get(args[0], float("inf"))
-        return began - play.world.submitted[args[0]] <= float(args[1])
+        began = scenario_run.world.first_started_at.get(args[0], float("inf"))
+        return began - scenario_run.world.submitted[args[0]] <= float(args[1])
     if kind == "session":
-        return play.world.workers[args[0]].incarnation == int(args[1])
+        return scenario_run.world.workers[args[0]].incarnation == int(args[1])
     if kind == "late-writes":
-        return play.store.late_applied >= int(args[0]) and play.store.late_refused >= int(args[1])
+        return scenario_run.store.late_applied >= int(args[0]) and scenario_run.store.late_refused >= int(args[1])
     if kind == "late-reports":
-        return play.world.late_heartbeats >= int(args[0])
+        return scenario_run.world.late_heartbeats >= int(args[0])
     if kind == "leaders":
-        return play.leaders_ended == int(args[0])
+        return scenario_run.leaders_ended == int(args[0])
     if kind == "repeated":
-        return play.store.repeated.get(args[0], 0) >= int(args[1])
+        return scenario_run.store.repeated.get(args[0], 0) >= int(args[1])
     if kind == "throttled":
-        return play.store.throttled <= int(args[0])
+        return scenario_run.store.throttled <= int(args[0])
     if kind == "machines":
-        up = sum(not m["gone"] for m in play.cloud.machines.values())
+        up = sum(not m["gone"] for m in scenario_run.cloud.machines.values())
         return int(args[0]) <= up <= int(args[1])
     if kind in ("gone", "kept"):
-        return bool(play.cloud.machines[args[0]]["gone"]) == (kind == "gone")
+        return bool(scenario_run.cloud.machines[args[0]]["gone"]) == (kind == "gone")
     if kind == "started":
-        return play.world.rules.started <= int(args[0])
+        return scenario_run.world.checks.started <= int(args[0])
     if kind == "started-once":
-        rules = play.world.rules
-        return all(n <= 1 + rules.lost_with_lease.get(name, 0) for name, n in rules.starts.items())
+        checks = scenario_run.world.checks
+        return all(n <= 1 + checks.lost_with_lease.get(name, 0) for name, n in checks.starts.items())
     if kind == "empty":
-        return not [key for key in play.store.keys if key.startswith(args[0])]
+        return not [key for key in scenario_run.store.keys if key.startswith(args[0])]
     raise ValueError(f"unknown expectation: {words}")
--- a/tests/sim/soak.py
+++ b/tests/sim/soak.py
@@ -24,11 +24,11 @@
 import curio
 
 from spurarch.transport.http import Handler, HttpClient, NoAnswerError, Request, Response
-from tests.outcomes import ACCEPTED, TOLD, Event
-from tests.sim.loopback import Installation, play
+from tests.outcomes import ACCEPTED, REPORTED, Event
+from tests.sim.loopback import Installation, run_script
 from tests.sim.relay import Relay
-from tests.sim.soak_plan import SIZES, TROUBLES, InjectedFault, PlannedJob, SoakPlan, make_plan
-from tests.sim.soak_world import LATE_COMMAND_S, FaultyWire, SoakWorld
+from tests.sim.soak_plan import FAULT_KINDS, SIZES, InjectedFault, PlannedJob, SoakPlan, make_plan
+from tests.sim.soak_world import LATE_COMMAND_S, FaultyLinks, SoakWorld
 
 SETTLE_TIMEOUT_S = 150.0  # for all jobs to end after the last injected fault; only a defect keeps them longer
 SLOW_READ_S, SLOW_PAGE_S = 0.4, 0.6
@@ -63,16 +63,16 @@
         self.plan, self.planted = plan, planted
         self.problems: list[str] = []
         self.timeline: list[dict[str, Any]] = []
-        self.wire = FaultyWire(Random(plan.seed + 2))
+        self.links = FaultyLinks(Random(plan.seed + 2))
         self.soak_world = SoakWorld(
-            self.log, self.clock, self.wire, plan.settings.report_s, plan.settings.lease_s, plan.settings.cancel_s
+            self.log, self.clock, self.links, plan.settings.report_s, plan.settings.lease_s, plan.settings.cancel_s
         )
         self.world = self.soak_world
         self.world.limits = dict(plan.settings.teams)
         self.cloud.world = self.world
         self._controller_clients: list[HttpClient] = []
         for name, address in self.nodes:
-            self.wire.handlers.remote[address] = self._remote(name, address)
+            self.links.handlers.remote[address] = self._remote(name, address)
         self.relays: dict[tuple[int, int], Relay] = {}
         self._final_states: dict[str, str] = {}
         self._cancelled: set[str] = set()
@@ -168,7 +168,7 @@
             case "peers-hold" | "peers-refuse":
                 await self._cut_peers(node, fault)
             case "refuse-leader":
-                self.store.refused[f"n{leader if leader is not None else node}"] = until
+                self.store.refused_until[f"n{leader if leader is not None else node}"] = until
             case "outage":
                 self.store.outage(fault.for_s)
             case "slow-state":
@@ -191,16 +191,16 @@
                 for name in affected:
                     self.world.workers[name].hang_until = until
             case "deaf":
-                self.wire.responses_lost_until |= dict.fromkeys(affected, until)
+                self.links.responses_lost_until |= dict.fromkeys(affected, until)
             case "mute":
-                self.wire.heartbeats_lost_until |= dict.fromkeys(affected, until)
+                self.links.heartbeats_lost_until |= dict.fromkeys(affected, until)
             case "machine-dies":
                 self.world.workers[affected[0]].fail()
             case "late-reports":
                 self.world.late_heartbeats_until, self.world.late_heartbeats_share = until, LATE_SHARE
                 self._faults_end_at = max(self._faults_end_at, until + 2 * self.settings.lease_s)
             case "late-commands":
-                self.wire.late_commands_until = until
+                self.links.late_commands_until = until
                 self._faults_end_at = max(self._faults_end_at, until + LATE_COMMAND_S[1])
             case "cancel-burst":
                 await self._cancel_burst(fault)
@@ -237,7 +237,7 @@
     def _repeat_writes(self) -> None:
         """Delivers the latest transactions once more; a change by one of them may be a defect."""
         rates = dict(self.store._rates)
-        applied = self.store._carried[-MAX_REPEATED_TRANSACTIONS:]
+        applied = self.store._applied[-MAX_REPEATED_TRANSACTIONS:]
         for body in list(applied):
             self.store._rates["writes"] = (1e9, 1e9, self.clock.now)
             self.store._txn(body)
@@ -323,7 +323,7 @@
 
     def _check_answer(self, job_id: str, standing: str, before: str | None) -> None:
         """Records and checks an answer; `before` is the final state that was known when the request was sent."""
-        self.log.note(Event(self.clock.now, TOLD, job_id, detail=standing))
+        self.log.note(Event(self.clock.now, REPORTED, job_id, detail=standing))
         if before is not None and standing != before:
             self.problems.append(f"went_back: {job_id} was {before}, now {standing}")
         if standing == "done" and len(self.world.done.get(job_id, ())) < self.world.jobs[job_id]["legs"]:
@@ -347,7 +347,7 @@
         items: list[tuple[float, Callable[..., Awaitable[None]], Any]] = [
             (j.at_s, self.run_user, j) for j in self.plan.jobs
         ]
-        items += [(t.at_s, self.inject_fault, t) for t in self.plan.troubles]
+        items += [(t.at_s, self.inject_fault, t) for t in self.plan.faults]
         for at_s, action, item in sorted(items, key=lambda entry: entry[0]):
             await curio.sleep(max(0.0, started_at + at_s - self.clock.now))
             await curio.spawn(action, item, daemon=True)
@@ -369,14 +369,14 @@
 
     def _found_planted(self) -> bool:
         """Returns whether a planted fault has exceeded a team's limit, which ends the run early."""
-        return self.planted is not None and any("quota" in text for text in self.world.rules.broken)
+        return self.planted is not None and any("quota" in text for text in self.world.checks.violations)
 
     def _record(self, kind: str, detail: Any) -> None:
         self.timeline.append({"at": self.clock.now, "kind": kind, "detail": detail, "leader": self.leader()})
 
     def finish(self) -> list[str]:
         """Writes the outcomes and the timeline, and returns all problems."""
-        self.problems += self.world.rules.broken + self.store.faults
+        self.problems += self.world.checks.violations + self.store.faults
         for log in sorted(self.directory.glob("n*.log")):
             lines = log.read_text(errors="replace").splitlines()
             self.problems += [f"{log.stem}: {line}" for line in lines if any(word in line for word in DEFECT_MARKERS)]
@@ -391,15 +391,13 @@
     directory.mkdir(parents=True, exist_ok=True)
     started_at = time.monotonic()
     run = Soak(plan, directory, planted)
-    result = SoakResult(
-        plan.seed, plan.size, jobs=len(plan.jobs), troubles=len(plan.troubles), directory=str(directory)
-    )
+    result = SoakResult(plan.seed, plan.size, jobs=len(plan.jobs), troubles=len(plan.faults), directory=str(directory))
     try:
-        play(run, Soak.run_plan)  # type: ignore[arg-type]
+        run_script(run, Soak.run_plan)  # type: ignore[arg-type]
     except Exception as err:
         result.problems.append(f"the run itself failed: {err!r}")
     result.problems += run.finish()
-    result.starts, result.leaders = run.world.rules.started, run.leaders
+    result.starts, result.leaders = run.world.checks.started, run.leaders
     result.closest = {team: round(share, 3) for team, share in run.soak_world.peak_use.items()}
     result.seconds = round(time.monotonic() - started_at, 1)
     return result
@@ -418,7 +416,7 @@
     parser = argparse.ArgumentParser(prog="soak")
     parser.add_argument("--seeds", default="1", help="one, or the first and the last: 1-50")
     parser.add_argument("--size", default="small", help=", ".join(SIZES))
-    parser.add_argument("--troubles", default=",".join(TROUBLES))
+    parser.add_argument("--troubles", default=",".join(FAULT_KINDS))
     parser.add_argument("--directory", type=Path, default=None)
     arguments = parser.parse_args()
     try:
--- a/tests/sim/soak_plan.py
+++ b/tests/sim/soak_plan.py
@@ -7,7 +7,7 @@
 
 from tests.sim.loopback import Job, LoopbackSettings
 
-TROUBLES = (
+FAULT_KINDS = (
     "kill",
     "kill-leader",
     "kill-all",
@@ -67,7 +67,7 @@
     size: str
     settings: LoopbackSettings
     jobs: list[PlannedJob]
-    troubles: list[InjectedFault]
+    faults: list[InjectedFault]
 
 
 def settings_of(seed: int, size: str) -> LoopbackSettings:
@@ -101,13 +101,13 @@
     )
 
 
-def make_plan(seed: int, size: str, only: tuple[str, ...] = TROUBLES) -> SoakPlan:
+def make_plan(seed: int, size: str, only: tuple[str, ...] = FAULT_KINDS) -> SoakPlan:
     """Returns the plan of a seed, with faults of the kinds in `only`; raises ValueError for an unknown argument."""
     if size not in SIZES:
         raise ValueError(f"unknown size {size!r}: one of {', '.join(SIZES)}")
     for kind in only:
-        if kind not in TROUBLES:
-            raise ValueError(f"unknown trouble {kind!r}: one of {', '.join(TROUBLES)}")
+        if kind not in FAULT_KINDS:
+            raise ValueError(f"unknown trouble {kind!r}: one of {', '.join(FAULT_KINDS)}")
     if seed < 1:
         raise ValueError(f"unknown seed {seed}: a whole number from 1 on")
     random = Random(f"{seed} {size}")
--- a/tests/sim/soak_world.py
+++ b/tests/sim/soak_world.py
@@ -10,13 +10,13 @@
 
 from spurarch.transport.http import Handler, NoAnswerError, Request, Response
 from tests.sim.fleet import SimTask, Worker
-from tests.sim.loopback import LoggingWorld, LoopbackWire
+from tests.sim.loopback import LoggingWorld, LoopbackLinks
 
 LATE_SHARE = 0.4  # of direct commands
 LATE_COMMAND_S = (2.0, 8.0)  # shortest and longest delay
 
 
-class FaultyWire(LoopbackWire):
+class FaultyLinks(LoopbackLinks):
     """Real sockets with faults between workers and controllers."""
 
     def __init__(self, random: Random) -> None:
--- a/tests/sim/store.py
+++ b/tests/sim/store.py
@@ -25,7 +25,7 @@
     return lambda key: key.startswith(prefix)
 
 
-class FakeStore:
+class SimStateService:
     """Keys, leases, transactions and watches, with the limits of the published protocol and injected faults."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self.revision = 0
         self.events: list[tuple[int, dict[str, Any]]] = []
         self.outage_until = 0.0
-        self.refused: dict[str, float] = {}  # by host: until when its requests are refused
+        self.refused_until: dict[str, float] = {}  # by host: until when its requests are refused
         self.lose_answers_until = 0.0
         self.slow_until, self.slow_s = 0.0, 0.0
         self.late_until, self.late_share = 0.0, 0.0
@@ -51,7 +51,7 @@
         self.too_old: dict[str, float] = {}  # by host: its watches get no response until then, and then 410
         self.oldest_watch_revision: dict[str, int] = {}  # by host: oldest revision from which its watches may start
         self.no_watch: dict[str, float] = {}  # by host: until when its watches get 429
-        self._carried: list[dict[str, Any]] = []  # applied transactions with changes, in order
+        self._applied: list[dict[str, Any]] = []  # applied transactions with changes, in order
         self.repeated: dict[str, int] = {}  # by key prefix: repeated transactions that had created such a key
         self._rates = {"requests": (rps, rps, clock.now), "writes": (write_rps, write_rps, clock.now)}
         self._value_bytes, self._txn_ops = value_kb * 1024, txn_ops
@@ -67,14 +67,14 @@
 
     def wipe(self) -> None:
         """Deletes all data; revisions start again at 0."""
-        self.go_back_to(0, {})
+        self.restore(0, {})
 
-    def go_back_to(self, revision: int, keys: dict[str, tuple[Any, int, int | None]]) -> None:
+    def restore(self, revision: int, keys: dict[str, tuple[Any, int, int | None]]) -> None:
         """Restores the data of an earlier revision and discards later changes and all leases."""
         self.revision, self.keys = revision, dict(keys)
         self.events = [(at, event) for at, event in self.events if at <= revision]
         self.leases.clear()
-        self._carried.clear()
+        self._applied.clear()
 
     def outage(self, seconds: float) -> None:
         """Refuses all requests for some seconds; every lease has its full time to live afterwards."""
@@ -103,7 +103,7 @@
             self.expire()
             url = urlsplit(request.target)
             query = {k: v[0] for k, v in parse_qs(url.query).items()}
-            down = self.clock.now < max(self.outage_until, self.refused.get(host, 0.0))
+            down = self.clock.now < max(self.outage_until, self.refused_until.get(host, 0.0))
             if url.path == "/watch" and not down:
                 return await self._watch(host, query)
             if down:
@@ -209,7 +209,7 @@
             return json_response(409, {"failed": failed, "ledger": self.revision})
         if ops:
             self.revision += 1
-            self._carried.append(body)
+            self._applied.append(body)
         for op in ops:
             if "write" in op:
                 self.keys[op["write"]] = op["value"], self.revision, op.get("tether")
@@ -226,7 +226,7 @@
         prefix `but`.
         """
         changed_keys = []
-        for body in list(self._carried):
+        for body in list(self._applied):
             created = [
                 g["key"]
                 for g in body["guards"]
@@ -248,7 +248,7 @@
         while self.revision <= after and self.clock.now < end:
             await curio.sleep(0.005)
             self.expire()
-        while self.clock.now < max(self.outage_until, self.refused.get(host, 0.0)):
+        while self.clock.now < max(self.outage_until, self.refused_until.get(host, 0.0)):
             await curio.sleep(0.05)
         while host in self.too_old:
             await curio.sleep(0.05)
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -17,7 +17,7 @@
 COUNT = 4
 OTHER_PROCESS = """
 from tests.sim import addresses
-addresses.SERVER_PORTS, addresses.HOLDER_NAME = {ports}, {name!r}
+addresses.SERVER_PORTS, addresses.RESERVATION_NAME_PREFIX = {ports}, {name!r}
 with addresses.ReservedAddresses() as reserved:
     print(reserved.reserve())
 """
@@ -29,16 +29,16 @@
 
 @pytest.fixture
 def few_ports(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """The only ports of a test: reserved under the usual holder name, and free under the holder name of the test."""
+    """The only ports of a test: reserved under the usual name prefix, and free under that of the test."""
     with ReservedAddresses() as own:
         found = sorted(ports(own, COUNT))
         monkeypatch.setattr(addresses, "SERVER_PORTS", found)
-        monkeypatch.setattr(addresses, "HOLDER_NAME", f"spurarch-tests-of-addresses-{os.getpid()}-")
+        monkeypatch.setattr(addresses, "RESERVATION_NAME_PREFIX", f"spurarch-tests-of-addresses-{os.getpid()}-")
         yield found
 
 
 def test_an_address_is_reserved_only_once_across_processes(few_ports: list[int]) -> None:
-    script = OTHER_PROCESS.format(ports=few_ports, name=addresses.HOLDER_NAME)
+    script = OTHER_PROCESS.format(ports=few_ports, name=addresses.RESERVATION_NAME_PREFIX)
     with ReservedAddresses() as first, ReservedAddresses() as second:
         taken = ports(first, 2) | ports(second, 1)
         other = subprocess.run([sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True)
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -32,10 +32,10 @@
 from spurarch.storage.store import Store
 from spurarch.transport.http import Request
 from tests.sim.clock import Clock
-from tests.sim.net import SimNetwork, Wire
-from tests.sim.store import FakeStore
+from tests.sim.net import SimLinks, SimNetwork
+from tests.sim.store import SimStateService
 
-STATE = "10.2.0.1:2379"
+STATE_ADDRESS = "10.2.0.1:2379"
 LIMITS = StateLimits(200.0, 80.0, 8.0, 24)
 
 
@@ -226,12 +226,12 @@
 
     def __init__(self, root: Path) -> None:
         self.clock, self.root = Clock(), root
-        self.wire = Wire(self.clock, Random(1))
-        self.store = FakeStore(self.clock, Random(2), 500.0, 500.0, 8.0, 24)
-        self.wire.hosts[STATE] = "store"
-        self.wire.doors[STATE] = self.store.handler_for
-        self.network = SimNetwork(self.wire, "archive")
-        self.client = Store(self.network.client(STATE, 4), LIMITS, 1)
+        self.links = SimLinks(self.clock, Random(1))
+        self.store = SimStateService(self.clock, Random(2), 500.0, 500.0, 8.0, 24)
+        self.links.hosts[STATE_ADDRESS] = "store"
+        self.links.handlers_by_client[STATE_ADDRESS] = self.store.handler_for
+        self.network = SimNetwork(self.links, "archive")
+        self.client = Store(self.network.client(STATE_ADDRESS, 4), LIMITS, 1)
 
     def run(self, main: Any) -> None:
         """Runs a coroutine in virtual time."""
@@ -408,7 +408,7 @@
         setup.put("live/job/job-2", "late")
         await curio.sleep(1)
         await task.cancel()  # no archiver is running during the rollback
-        setup.store.go_back_to(*saved)
+        setup.store.restore(*saved)
         follower, _ = await setup.start_archiver()
         await curio.sleep(2)
         assert follower.phase is FollowerPhase.SEALED
--- a/tests/test_external_contract_day.py
+++ b/tests/test_external_contract_day.py
@@ -11,8 +11,8 @@
 import msgspec
 import pytest
 
-from tests.sim.exchanges import Exchange, record_exchanges, without_chance
-from tests.sim.scenario import CLOUD, STATE, Play
+from tests.sim.exchanges import Exchange, mask_random_values, record_exchanges
+from tests.sim.scenario import CLOUD_ADDRESS, STATE_ADDRESS, ScenarioRun
 from tests.sim.scenario_text import Scenario
 
 DAY = """
@@ -188,7 +188,7 @@
 @pytest.fixture(scope="module")
 def exchanges() -> list[Exchange]:
     """Returns all requests of the run, with their responses."""
-    day = Play(Scenario.parse(DAY, {}))
+    day = ScenarioRun(Scenario.parse(DAY, {}))
     out = record_exchanges(day)
     day.run()
     assert day.problems == []
@@ -197,9 +197,9 @@
 
 def test_the_day_writes_exactly_these_records(exchanges: list[Exchange]) -> None:
     written = {
-        without_chance(bytes(change))
+        mask_random_values(bytes(change))
         for exchange in exchanges
-        if exchange.address == STATE and exchange.line == "POST /txn" and exchange.status == 200
+        if exchange.address == STATE_ADDRESS and exchange.line == "POST /txn" and exchange.status == 200
         for change in msgspec.json.decode(exchange.body, type=Transaction).then
     }
     assert written == WRITTEN
@@ -209,18 +209,24 @@
     asked = {
         (re.sub(r"from=[0-9]+", "from=N", exchange.line), b"" if exchange.line == "POST /txn" else exchange.body)
         for exchange in exchanges
-        if exchange.address == STATE
+        if exchange.address == STATE_ADDRESS
     }
     assert asked == STATE_REQUESTS
 
 
 def test_the_day_asks_the_cloud_exactly_so(exchanges: list[Exchange]) -> None:
-    asked = {(exchange.line, without_chance(exchange.body)) for exchange in exchanges if exchange.address == CLOUD}
+    asked = {
+        (exchange.line, mask_random_values(exchange.body))
+        for exchange in exchanges
+        if exchange.address == CLOUD_ADDRESS
+    }
     assert asked == CLOUD_REQUESTS
 
 
 def test_the_day_commands_its_workers_exactly_so(exchanges: list[Exchange]) -> None:
-    direct = {(e.line, e.body) for e in exchanges if e.source == "n0" and e.address not in (STATE, CLOUD)}
+    direct = {
+        (e.line, e.body) for e in exchanges if e.source == "n0" and e.address not in (STATE_ADDRESS, CLOUD_ADDRESS)
+    }
     answered = {
         bytes(order)
         for exchange in exchanges
--- a/tests/test_external_contract_rebuilding.py
+++ b/tests/test_external_contract_rebuilding.py
@@ -9,9 +9,9 @@
 import json
 import re
 
-from tests.sim.exchanges import record_exchanges, without_chance
-from tests.sim.recovery import RecoveryPlay
-from tests.sim.scenario import STATE
+from tests.sim.exchanges import mask_random_values, record_exchanges
+from tests.sim.recovery import RecoveryScenarioRun
+from tests.sim.scenario import STATE_ADDRESS
 from tests.sim.scenario_text import Scenario
 
 DAY = """
@@ -74,14 +74,16 @@
 
 
 def test_a_rebuilding_makes_exactly_these_transactions() -> None:
-    day = RecoveryPlay(Scenario.parse(DAY, {}))
+    day = RecoveryScenarioRun(Scenario.parse(DAY, {}))
     exchanges = record_exchanges(day)
 
     day.run()
 
-    made = [e.body for e in exchanges if e.source == "n0" and e.address == STATE and b'"history/claim"' in e.body]
+    made = [
+        e.body for e in exchanges if e.source == "n0" and e.address == STATE_ADDRESS and b'"history/claim"' in e.body
+    ]
     first, following = (name.encode() for name in _histories(made[-1]))
-    made = [without_chance(body).replace(first, b"FIRST").replace(following, b"NEXT") for body in made]
+    made = [mask_random_values(body).replace(first, b"FIRST").replace(following, b"NEXT") for body in made]
     assert day.problems == []
     assert made == TRANSACTIONS
 
@@ -103,12 +105,12 @@
 
 
 def test_an_archiver_publishes_how_far_it_is_in_exactly_this_transaction() -> None:
-    day = RecoveryPlay(Scenario.parse(ARCHIVED_DAY, {}))
+    day = RecoveryScenarioRun(Scenario.parse(ARCHIVED_DAY, {}))
     exchanges = record_exchanges(day)
 
     day.run()
 
-    made = {e.body for e in exchanges if e.source == "archive" and e.address == STATE and e.line == "POST /txn"}
+    made = {e.body for e in exchanges if e.source == "archive" and e.address == STATE_ADDRESS and e.line == "POST /txn"}
     name = day.store.keys["history/current"][0]["name"].encode()
     made = {re.sub(rb'"(stamp|revision)":[0-9]+', rb'"\1":N', body.replace(name, b"FIRST")) for body in made}
     made = {re.sub(rb'"archiver":"[0-9a-f]{12}"', b'"archiver":"WHO"', body) for body in made}
--- a/tests/test_external_contract_refusals.py
+++ b/tests/test_external_contract_refusals.py
@@ -21,7 +21,7 @@
 from spurarch.transport.http_messages import MessageError, RequestParser, error_response, render_response
 from tests.sim.addresses import ReservedAddresses
 from tests.sim.net import SimNetwork
-from tests.sim.scenario import STATE, Play
+from tests.sim.scenario import STATE_ADDRESS, ScenarioRun
 from tests.sim.scenario_text import Scenario
 
 Answer = tuple[int, bytes, list[tuple[str, str]]]
@@ -67,7 +67,7 @@
     return response.status, response.body, response.headers
 
 
-class Site(Play):
+class Site(ScenarioRun):
     """Controllers on simulated services, to which a test script sends requests."""
 
     def __init__(
@@ -87,7 +87,7 @@
 
     async def ask(self, method: str, target: str, body: bytes = b"", node: str = "n0") -> Answer:
         """Sends a request to a controller and returns the response."""
-        handler = self.wire.handlers[dict(self.nodes)[node]]
+        handler = self.links.handlers[dict(self.nodes)[node]]
         return answer_of(await handler(Request(method, target, body)))
 
     def put(self, key: str, value: Any) -> None:
@@ -110,7 +110,7 @@
 
             return answer
 
-        self.wire.doors[STATE] = door
+        self.links.handlers_by_client[STATE_ADDRESS] = door
 
 
 def tell(story: Callable[[Site], Awaitable[None]], setup: str = "controllers 1", settle_s: float = 4.0) -> None:
@@ -299,7 +299,7 @@
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
-        controller = site.controller("n0", SimNetwork(site.wire, "n0"), "00ff", 1)
+        controller = site.controller("n0", SimNetwork(site.links, "n0"), "00ff", 1)
         for method, target, body in (
             ("GET", "/up", b""),
             ("POST", "/submissions", submission()),
@@ -327,7 +327,7 @@
         async def trouble(request: Request) -> Response:
             return Response(503, b'{"error":"trouble"}')
 
-        site.wire.handlers["10.2.0.2:8443"] = trouble
+        site.links.handlers["10.2.0.2:8443"] = trouble
         await curio.sleep(4.0)
         answers.append(await site.ask("POST", "/submissions", submission()))
 
@@ -413,7 +413,7 @@
 
             return answer
 
-        site.wire.doors[STATE] = door
+        site.links.handlers_by_client[STATE_ADDRESS] = door
         answers.append(await site.ask("POST", "/submissions", submission()))
 
     tell(story)
@@ -432,7 +432,7 @@
         site.put("history/current", history)
         site.put(f"history/open/{history['name']}", {"number": history["number"]})
         site.tuning.recovery = True
-        network = SimNetwork(site.wire, "n0")
+        network = SimNetwork(site.links, "n0")
         controller: Controller = controller_with_recovery(site.platform(0), site.tuning, network, "00ff")
         await curio.spawn(controller.run, daemon=True)
         await curio.sleep(4.0)
@@ -534,7 +534,7 @@
     answers: list[Answer] = []
 
     async def story(site: Site) -> None:
-        site.store.refused["n0"] = site.clock.now + 100.0
+        site.store.refused_until["n0"] = site.clock.now + 100.0
         await curio.sleep(10.0)
         answers.append(await site.ask("GET", "/up"))
 
@@ -756,7 +756,7 @@
         site.put("history/current", {"name": "01ab", "number": 1})
         site.put("history/open/01ab", {"number": 1})
         site.tuning.recovery = True
-        network = SimNetwork(site.wire, "n0")
+        network = SimNetwork(site.links, "n0")
         controller = controller_with_recovery(site.platform(0), site.tuning, network, "00ff")
         await curio.spawn(controller.run, daemon=True)
         await curio.sleep(4.0)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,6 +1,6 @@
 """Two to four faults at random times, with real controllers and fixed seeds: no rule may break, and work must go on.
 
-For 500 new plays: `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0
+For 500 new scenarios: `SPURARCH_MEETINGS=500 python -m pytest -o faulthandler_timeout=0
 tests/test_fault_combinations.py` (docs/operations.md); a failure found this way is added as a scenario file.
 """
 
@@ -12,11 +12,11 @@
 import pytest
 from hypothesis import strategies as st
 
-from tests.sim.random_days import last_trouble, play_days
-from tests.sim.scenario import Play
+from tests.sim.random_scenarios import last_fault_end, play_random_scenarios
+from tests.sim.scenario import ScenarioRun
 from tests.sim.scenario_text import Scenario
 
-MORE = int(os.environ.get("SPURARCH_MEETINGS", "0"))  # new plays to generate instead of those of the fixed seeds
+MORE = int(os.environ.get("SPURARCH_MEETINGS", "0"))  # new scenarios to generate instead of those of the fixed seeds
 QUIET_S = 125.0  # after the last fault, until all jobs have to be final
 BASE = """team t max=60
 team u max=4
@@ -38,7 +38,7 @@
 machines = st.integers(1, 6).map("vm-{:06d}".format)
 spans = st.sampled_from([0.3, 1.0, 3.0, 8.0, 14.0, 25.0, 40.0])
 modes = st.sampled_from(["drop", "hold"])
-troubles = st.one_of(
+faults = st.one_of(
     st.builds("kill {} for={}".format, nodes, st.sampled_from([0.2, 0.8, 3.0, 10.0])),
     st.builds("kill-all for={}".format, st.sampled_from([0.2, 3.0, 12.0])),
     st.builds("cut {} store for={} mode={}".format, nodes, spans, modes),
@@ -59,10 +59,10 @@
     st.builds("cancel-at-end for={}".format, spans),
 )
 moments = st.integers(80, 400).map(lambda tenths: tenths / 10)
-timed = st.builds("at {} {}".format, moments, troubles)
+timed = st.builds("at {} {}".format, moments, faults)
 cancels = st.builds("at {} cancel job-{}".format, moments, st.sampled_from([3, 4, 4, 4, 5, 10]))
 submits = st.builds("at {0} submit job-{1} tasks={2} run=5".format, moments, st.integers(6, 9), st.integers(1, 6))
-days = st.builds(
+scenarios = st.builds(
     lambda lines: "\n".join(dict.fromkeys(sorted(lines, key=lambda line: float(line.split()[1])))),
     st.builds(
         lambda *parts: list(chain.from_iterable(parts)),
@@ -73,23 +73,23 @@
 )
 
 
-def left(played: Play, but: set[str], may_be: set[str]) -> list[str]:
+def left(scenario_run: ScenarioRun, but: set[str], may_be: set[str]) -> list[str]:
     """Jobs whose last reported state is not in `may_be`, except the jobs in `but`."""
-    refs = [words[1] for _, words in played.scenario.actions if words[0] == "submit" and words[1] not in but]
-    last = {job_id: played.told.get(job_id, ["nothing"])[-1] for job_id in refs}
+    refs = [words[1] for _, words in scenario_run.scenario.actions if words[0] == "submit" and words[1] not in but]
+    last = {job_id: scenario_run.answers_by_job.get(job_id, ["nothing"])[-1] for job_id in refs}
     return [f"{job_id} is left: {state}" for job_id, state in last.items() if state not in may_be]
 
 
-def play(text: str) -> list[str]:
-    """Problems found in one play."""
+def run_scenario(text: str) -> list[str]:
+    """Problems found in one scenario."""
     scenario = Scenario.parse(BASE + text, {})
-    scenario.end = last_trouble(scenario) + QUIET_S
+    scenario.end = last_fault_end(scenario) + QUIET_S
     revoking = {words[1] for _, words in scenario.actions if words[0] == "cancel"}
     may_be = {"done", "aborted"} if "cancel-at-end" in text else {"done"}
-    played = Play(scenario)
-    played.run()
-    problems = played.problems + left(played, {*revoking, "job-1", "job-4"}, may_be)
-    replicas = [task for _, task in played.world.on_machines() if task.name.startswith("job-1/")]
+    scenario_run = ScenarioRun(scenario)
+    scenario_run.run()
+    problems = scenario_run.problems + left(scenario_run, {*revoking, "job-1", "job-4"}, may_be)
+    replicas = [task for _, task in scenario_run.world.on_machines() if task.name.startswith("job-1/")]
     if len(replicas) != 5:
         problems.append(f"{len(replicas)} replicas of 5 run")
     return problems
@@ -97,4 +97,4 @@
 
 @pytest.mark.parametrize("part", range(4))  # in parts, so that no test takes long on a slow machine
 def test_meetings(part: int) -> None:
-    play_days(days, play, part, 6, MORE // 4)
+    play_random_scenarios(scenarios, run_scenario, part, 6, MORE // 4)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from tests.outcomes import ACCEPTED, ASKED_TO_CANCEL, COMPLETED, LEFT, STARTED, TOLD, Event, OutcomeLog, check
+from tests.outcomes import ACCEPTED, CANCEL_REQUESTED, COMPLETED, LEFT, REPORTED, STARTED, Event, OutcomeLog, check
 
 VALID = [
     Event(1, ACCEPTED, "job-1"),
     Event(2, STARTED, "job-1", 0, "vm-1"),
     Event(3, STARTED, "job-1", 1, "vm-2"),
-    Event(4, TOLD, "job-1", detail="running"),
+    Event(4, REPORTED, "job-1", detail="running"),
     Event(5, COMPLETED, "job-1", 0, "vm-1"),
     Event(6, COMPLETED, "job-1", 1, "vm-2"),
-    Event(7, TOLD, "job-1", detail="done"),
-    Event(8, TOLD, "job-1", detail="done"),
+    Event(7, REPORTED, "job-1", detail="done"),
+    Event(8, REPORTED, "job-1", detail="done"),
 ]
 
 
@@ -29,7 +29,9 @@
 
 
 def test_a_cancelled_job_passes() -> None:
-    assert violations(*VALID[:4], Event(5, ASKED_TO_CANCEL, "job-1"), Event(6, TOLD, "job-1", detail="aborted")) == []
+    assert (
+        violations(*VALID[:4], Event(5, CANCEL_REQUESTED, "job-1"), Event(6, REPORTED, "job-1", detail="aborted")) == []
+    )
 
 
 @pytest.mark.parametrize(
@@ -38,9 +40,9 @@
         (VALID[:6], "no final answer"),
         (VALID[1:], "never accepted"),
         ([*VALID[:5], VALID[6]], r"done without tasks \[1\]"),
-        ([*VALID, Event(9, TOLD, "job-1", detail="running")], "running after done"),
-        ([*VALID, Event(9, TOLD, "job-1", detail="aborted")], "done and aborted"),
-        ([*VALID[:4], Event(5, TOLD, "job-1", detail="aborted")], "nobody asked"),
+        ([*VALID, Event(9, REPORTED, "job-1", detail="running")], "running after done"),
+        ([*VALID, Event(9, REPORTED, "job-1", detail="aborted")], "done and aborted"),
+        ([*VALID[:4], Event(5, REPORTED, "job-1", detail="aborted")], "nobody asked"),
         ([*VALID[:3], Event(3, STARTED, "job-1", 0, "vm-3"), *VALID[3:]], "on vm-1 and vm-3"),
     ],
 )
@@ -57,5 +59,5 @@
 
 
 def test_a_service_has_to_be_running_at_the_end() -> None:
-    assert violations(VALID[0], Event(4, TOLD, "job-1", detail="running"), tasks=0) == []
-    assert violations(VALID[0], Event(4, TOLD, "job-1", detail="pending"), tasks=0) != []
+    assert violations(VALID[0], Event(4, REPORTED, "job-1", detail="running"), tasks=0) == []
+    assert violations(VALID[0], Event(4, REPORTED, "job-1", detail="pending"), tasks=0) != []
--- a/tests/test_recovery_combinations.py
+++ b/tests/test_recovery_combinations.py
@@ -12,8 +12,8 @@
 import pytest
 from hypothesis import strategies as st
 
-from tests.sim.random_days import last_trouble, play_days
-from tests.sim.recovery import RecoveryPlay
+from tests.sim.random_scenarios import last_fault_end, play_random_scenarios
+from tests.sim.recovery import RecoveryScenarioRun
 from tests.sim.scenario_text import Scenario
 from tests.test_fault_combinations import BASE, QUIET_S, left, moments, timed
 
@@ -34,7 +34,7 @@
     st.integers(201, 400).map(lambda t: t / 10),
 )
 cancels = st.builds("at {} cancel job-{}".format, moments, st.sampled_from([3, 4, 5, 10]))
-days = st.builds(
+scenarios = st.builds(
     lambda *parts: "\n".join(dict.fromkeys(chain.from_iterable(parts))),
     st.lists(lost, min_size=1, max_size=2),
     st.lists(timed, max_size=3),
@@ -43,20 +43,20 @@
 )
 
 
-def play(text: str) -> list[str]:
+def run_scenario(text: str) -> list[str]:
     """Runs a scenario and returns its problems."""
     whole = f"answers archived\n{BASE}at 8 save early\nat 16 save later\n{text}"
     scenario = Scenario.parse(whole, {})
     scenario.end = (
-        last_trouble(scenario) + QUIET_S + 40.0
+        last_fault_end(scenario) + QUIET_S + 40.0
     )  # a rebuild may have to wait for workers that send no heartbeat
     revoking = {words[1] for _, words in scenario.actions if words[0] == "cancel"}
     may_be = {"done", "aborted"} if "cancel-at-end" in text else {"done"}
-    played = RecoveryPlay(scenario)
-    played.run()
-    return played.problems + left(played, {*revoking, "job-1", "job-4"}, may_be)
+    scenario_run = RecoveryScenarioRun(scenario)
+    scenario_run.run()
+    return scenario_run.problems + left(scenario_run, {*revoking, "job-1", "job-4"}, may_be)
 
 
 @pytest.mark.parametrize("group", range(3))
 def test_losses_among_other_troubles(group: int) -> None:
-    play_days(days, play, group, 4, MORE // 3)
+    play_random_scenarios(scenarios, run_scenario, group, 4, MORE // 3)
--- a/tests/test_recovery_faults.py
+++ b/tests/test_recovery_faults.py
@@ -12,16 +12,16 @@
 from spurarch.recovery.evidence import Source, Versioned
 from spurarch.recovery.heartbeat_collector import HeartbeatCollector
 from spurarch.storage.history import HistoryGuard, HistoryRecord
-from tests.sim.recovery import RecoveryPlay
+from tests.sim.recovery import RecoveryScenarioRun
 from tests.sim.scenario_text import Scenario
 
 SCENARIOS = Path(__file__).parent / "scenarios" / "recovery"
 
 
 def run_scenario(name: str) -> list[str]:
-    play = RecoveryPlay(Scenario.read(SCENARIOS / f"{name}.txt"))
-    play.run()
-    return play.problems
+    scenario_run = RecoveryScenarioRun(Scenario.read(SCENARIOS / f"{name}.txt"))
+    scenario_run.run()
+    return scenario_run.problems
 
 
 def test_exits_forgotten_before_they_are_archived_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_recovery_operators.py
+++ b/tests/test_recovery_operators.py
@@ -26,11 +26,11 @@
 from spurarch.storage.history import ARCHIVED, CURRENT, HistoryGuard, HistoryRecord
 from spurarch.storage.store import Store
 from tests.sim.clock import Clock
-from tests.sim.net import SimNetwork, Wire
-from tests.sim.recovery import RecoveryPlay
-from tests.sim.scenario import STATE, Play
+from tests.sim.net import SimLinks, SimNetwork
+from tests.sim.recovery import RecoveryScenarioRun
+from tests.sim.scenario import STATE_ADDRESS, ScenarioRun
 from tests.sim.scenario_text import Scenario
-from tests.sim.store import FakeStore
+from tests.sim.store import SimStateService
 
 SCENARIO = """
 team t max=60
@@ -45,12 +45,12 @@
 """
 
 
-def with_state_service(check: Any) -> FakeStore:
+def with_state_service(check: Any) -> SimStateService:
     clock = Clock()
-    network = Wire(clock, Random(1))
-    service = FakeStore(clock, Random(2), 500.0, 500.0, 8.0, 24)
-    network.hosts[STATE], network.doors[STATE] = "store", service.handler_for
-    client = Store(SimNetwork(network, "operator").client(STATE, 2), StateLimits(500.0, 500.0, 8.0, 24), 1)
+    network = SimLinks(clock, Random(1))
+    service = SimStateService(clock, Random(2), 500.0, 500.0, 8.0, 24)
+    network.hosts[STATE_ADDRESS], network.handlers_by_client[STATE_ADDRESS] = "store", service.handler_for
+    client = Store(SimNetwork(network, "operator").client(STATE_ADDRESS, 2), StateLimits(500.0, 500.0, 8.0, 24), 1)
 
     async def run() -> None:
         await check(client, service)
@@ -59,13 +59,13 @@
     return service
 
 
-def put(service: FakeStore, key: str, value: object) -> None:
+def put(service: SimStateService, key: str, value: object) -> None:
     service.revision += 1
     service.keys[key] = value, service.revision, None
 
 
 def test_a_first_history_can_be_declared_only_once() -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         history = await declare_first_history(client, False, True, "here")
         status = await operators.read_status(client)
         assert status.history == history
@@ -77,7 +77,7 @@
 
 
 def test_existing_records_require_adopt() -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         put(service, "live/job/job-1", {})
         with pytest.raises(OperatorError, match="--adopt"):
             await declare_first_history(client, False)
@@ -87,7 +87,7 @@
 
 
 def test_an_unresolved_outcome_can_be_resolved_only_once() -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         await declare_first_history(client, False)
         put(service, "final/job-1", {"state": "in doubt", "tasks": 3})
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
@@ -101,7 +101,7 @@
 
 
 def test_no_outcome_can_be_resolved_during_a_rebuild() -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         history = await declare_first_history(client, False)
         put(service, "doubt/job-1", {"job": "job-1", "kind": "outcome", "detail": "x"})
         del service.keys[f"history/open/{history.name}"]
@@ -112,7 +112,7 @@
 
 
 def test_purge_deletes_only_keys_of_earlier_histories() -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         await declare_first_history(client, False)
         put(service, CURRENT, {"name": "bb", "number": 3})
         put(service, "history/open/bb", {"number": 3})
@@ -159,27 +159,31 @@
 def test_an_unknown_job_gets_404_after_an_operator_resolved_unknown_jobs() -> None:
     """After a rebuild without an archive, requests for unknown jobs get 503; once an operator resolves them, 404."""
     text = "archive off\n" + SCENARIO.replace("end 30", "at 20 wipe\nat 50 raw GET /submissions/job-9 503\nend 60")
-    play = RecoveryPlay(Scenario.parse(text, {}))
+    scenario_run = RecoveryScenarioRun(Scenario.parse(text, {}))
     statuses: list[int] = []
-    original_act = play._act
+    original_act = scenario_run._act
 
     async def act_and_resolve(words: list[str]) -> None:
         await original_act(words)
         if words[0] == "raw":
             await curio.sleep(1.0)
-            client = Store(SimNetwork(play.wire, "operator").client(STATE, 2), play.platform(0).deployment.state, 1)
+            client = Store(
+                SimNetwork(scenario_run.links, "operator").client(STATE_ADDRESS, 2),
+                scenario_run.platform(0).deployment.state,
+                1,
+            )
             await operators.resolve_unknown_jobs(client)
             await curio.sleep(2.0)
-            statuses.append((await play._ask("GET", "/submissions/job-9", b""))[0])
+            statuses.append((await scenario_run._request("GET", "/submissions/job-9", b""))[0])
 
-    play._act = act_and_resolve  # type: ignore[method-assign]
-    play.run()
-    assert play.problems == []
+    scenario_run._act = act_and_resolve  # type: ignore[method-assign]
+    scenario_run.run()
+    assert scenario_run.problems == []
     assert statuses == [404]
 
 
 def test_an_archiver_refuses_records_of_another_installation(tmp_path: Path) -> None:
-    async def check(client: Store, service: FakeStore) -> None:
+    async def check(client: Store, service: SimStateService) -> None:
         await declare_first_history(client, False, False, "here")
         with pytest.raises(OtherInstallationError, match="'here'"):
             await Follower(client, tmp_path, None, "elsewhere").run()
@@ -192,29 +196,33 @@
 
 
 def test_controllers_do_not_serve_records_of_another_installation() -> None:
-    play = RecoveryPlay(Scenario.parse(SCENARIO, {}))
-    play.tuning.installation = "elsewhere"
-    play.run()
-    assert set(play.answers) == {503}
-    assert play.world.rules.started == 0
+    scenario_run = RecoveryScenarioRun(Scenario.parse(SCENARIO, {}))
+    scenario_run.tuning.installation = "elsewhere"
+    scenario_run.run()
+    assert set(scenario_run.submission_statuses) == {503}
+    assert scenario_run.world.checks.started == 0
 
 
 def test_without_recovery_no_recovery_key_is_written_or_compared() -> None:
-    play = Play(Scenario.parse(SCENARIO, {}))
-    play.run()
-    assert play.problems == []
-    used_keys = [key for _, event in play.store.events for key in (event.get("write"), event.get("drop")) if key]
-    used_keys += [guard["key"] for body in play.store._carried for guard in body["guards"]]
+    scenario_run = ScenarioRun(Scenario.parse(SCENARIO, {}))
+    scenario_run.run()
+    assert scenario_run.problems == []
+    used_keys = [
+        key for _, event in scenario_run.store.events for key in (event.get("write"), event.get("drop")) if key
+    ]
+    used_keys += [guard["key"] for body in scenario_run.store._applied for guard in body["guards"]]
     assert len(used_keys) > 20
     assert not [key for key in used_keys if key.startswith(("history/", "packed/", "doubt/", "h1", "h2"))]
 
 
 def test_with_recovery_every_transaction_compares_the_open_marker() -> None:
-    play = RecoveryPlay(Scenario.parse(SCENARIO, {}))
-    play.run()
-    assert play.problems == []
+    scenario_run = RecoveryScenarioRun(Scenario.parse(SCENARIO, {}))
+    scenario_run.run()
+    assert scenario_run.problems == []
     transactions = [
-        body for body in play.store._carried if not any(c.get("write") in (CURRENT, ARCHIVED) for c in body["then"])
+        body
+        for body in scenario_run.store._applied
+        if not any(c.get("write") in (CURRENT, ARCHIVED) for c in body["then"])
     ]
     assert len(transactions) > 10
     assert all(any(guard["key"].startswith("history/open/") for guard in body["guards"]) for body in transactions)
--- a/tests/test_recovery_processes.py
+++ b/tests/test_recovery_processes.py
@@ -12,14 +12,14 @@
 
 from spurarch.cli import main
 from tests.outcomes import STARTED, check
-from tests.sim.loopback import Installation, Job, LoopbackSettings, play
+from tests.sim.loopback import Installation, Job, LoopbackSettings, run_script
 
 TIMEOUT_S = 90.0
 
 
 async def start(installation: Installation) -> None:
     """Starts the controllers and, if configured, the archiver."""
-    await installation.operate("recovery", "init")
+    await installation.run_operator_command("recovery", "init")
     if installation.settings.archive:
         installation.start_archiver()
     for index in range(installation.settings.controllers):
@@ -33,7 +33,7 @@
     jobs += [Job("job-100", 2, 0.0, "daemon"), Job("job-101", 2, 60.0)]
     for job in jobs:
         await curio.spawn(installation.submit, job, until, daemon=True)
-    await installation.until(
+    await installation.wait_until(
         lambda: sum(e.kind == STARTED for e in installation.log.events) >= 20, TIMEOUT_S, "20 starts"
     )
     await curio.spawn(installation.cancel, "job-101", until, daemon=True)
@@ -41,11 +41,11 @@
 
 async def wait_for_outcomes(installation: Installation, history_number: int) -> None:
     """Waits until the history is open and every job has its final state, including one submitted now."""
-    await installation.until(
+    await installation.wait_until(
         lambda: installation.history_number() == history_number, TIMEOUT_S, f"history {history_number}"
     )
     await curio.spawn(installation.submit, Job("job-200", 2, 0.5), installation.clock.now + 3 * TIMEOUT_S, daemon=True)
-    await installation.until(installation.settled, TIMEOUT_S, "a final answer for every job")
+    await installation.wait_until(installation.settled, TIMEOUT_S, "a final answer for every job")
     await curio.sleep(2.0)  # users poll again, and must get the same responses
 
 
@@ -54,7 +54,7 @@
     await submit_load(installation)
     installation.store.wipe()
     await wait_for_outcomes(installation, 2)
-    status = await installation.operate("recovery", "status")
+    status = await installation.run_operator_command("recovery", "status")
     assert "history 2 " in status
     assert "in doubt: 0" in status
 
@@ -74,20 +74,20 @@
 
 async def rolled_back(installation: Installation) -> None:
     await start(installation)
-    await installation.until(
+    await installation.wait_until(
         lambda: installation.history_number() == 1 and len(installation.store.keys) > 5, TIMEOUT_S, "first records"
     )
     saved = installation.store.revision, dict(installation.store.keys)
     await submit_load(installation)
-    installation.store.go_back_to(*saved)
+    installation.store.restore(*saved)
     await wait_for_outcomes(installation, 2)
 
 
 @pytest.mark.parametrize("story", [wiped, wiped_with_all_controllers_restarted, rolled_back])
 def test_every_job_ends_with_one_final_state_after_a_loss(story: object, tmp_path: Path) -> None:
     installation = Installation(LoopbackSettings(), tmp_path)
-    play(installation, story)  # type: ignore[arg-type]
+    run_script(installation, story)  # type: ignore[arg-type]
     installation.log.write(tmp_path / "outcomes.jsonl")
     assert check(installation.log) == []
-    assert installation.world.rules.broken == []
+    assert installation.world.checks.violations == []
     assert main(["archive", "verify", "--directory", str(tmp_path / "archive")]) == 0
--- a/tests/test_recovery_scenarios.py
+++ b/tests/test_recovery_scenarios.py
@@ -11,7 +11,7 @@
 from spurarch.storage.rate_limits import Urgency
 from spurarch.storage.seeds import PackedSeed
 from spurarch.storage.transaction import TransactionResult
-from tests.sim.recovery import RecoveryPlay
+from tests.sim.recovery import RecoveryScenarioRun
 from tests.sim.scenario_text import Scenario
 
 # scenarios in which a rebuilt history stays in use, is lost again or is taken over
@@ -34,10 +34,10 @@
     ("path", "values"), VARIANTS, ids=["-".join([path.stem, *values.values()]) for path, values in VARIANTS]
 )
 def test_recovery_scenario(path: Path, values: dict[str, str]) -> None:
-    play = RecoveryPlay(Scenario.read(path, values))
-    play.run()
-    assert play.problems == []
-    assert play.world.rules.started > 0
+    scenario_run = RecoveryScenarioRun(Scenario.read(path, values))
+    scenario_run.run()
+    assert scenario_run.problems == []
+    assert scenario_run.world.checks.started > 0
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
         return await original_unpack(self, packed, urgency)
 
     monkeypatch.setattr(Committer, "_unpack", record_unpack)
-    play = RecoveryPlay(Scenario.read(path, values))
-    play.run()
-    assert play.problems == []
+    scenario_run = RecoveryScenarioRun(Scenario.read(path, values))
+    scenario_run.run()
+    assert scenario_run.problems == []
     assert unpacked_keys
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays every scenario file in each of its variants, and fails if a rule is broken."""
+"""Runs every scenario file in each of its variants, and fails if a rule is broken."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.sim.scenario import Play
+from tests.sim.scenario import ScenarioRun
 from tests.sim.scenario_text import Scenario
 
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
@@ -17,7 +17,7 @@
     ("path", "values"), PLAYS, ids=["-".join([path.stem, *values.values()]) for path, values in PLAYS]
 )
 def test_scenario(path: Path, values: dict[str, str]) -> None:
-    play = Play(Scenario.read(path, values))
-    play.run()
-    assert play.problems == []
-    assert play.world.rules.started > 0 or "raw" in path.read_text()
+    scenario_run = ScenarioRun(Scenario.read(path, values))
+    scenario_run.run()
+    assert scenario_run.problems == []
+    assert scenario_run.world.checks.started > 0 or "raw" in path.read_text()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 
 from tests.sim.loopback import ROOT
 from tests.sim.soak import soak
-from tests.sim.soak_plan import SIZES, TROUBLES, make_plan
+from tests.sim.soak_plan import FAULT_KINDS, SIZES, make_plan
 
 
 def test_teams_stay_within_their_limits_under_overlapping_faults(tmp_path: Path) -> None:
@@ -31,13 +31,13 @@
 def test_equal_seeds_give_equal_plans_and_other_seeds_other_plans() -> None:
     assert make_plan(7, "small") == make_plan(7, "small")
     assert make_plan(7, "small") != make_plan(8, "small")
-    kinds = {trouble.kind for seed in range(1, 51) for trouble in make_plan(seed, "small").troubles}
-    assert kinds == set(TROUBLES)
+    kinds = {fault.kind for seed in range(1, 51) for fault in make_plan(seed, "small").faults}
+    assert kinds == set(FAULT_KINDS)
 
 
 @pytest.mark.parametrize(
     ("words", "named"),
-    [(("--size", "huge"), SIZES), (("--troubles", "rain"), TROUBLES), (("--seeds", "0"), ("from 1 on",))],
+    [(("--size", "huge"), SIZES), (("--troubles", "rain"), FAULT_KINDS), (("--seeds", "0"), ("from 1 on",))],
 )
 def test_an_unknown_soak_option_is_refused_in_one_line_that_lists_the_choices(
     words: tuple[str, ...], named: tuple[str, ...]
--- a/tests/test_team_limit_combinations.py
+++ b/tests/test_team_limit_combinations.py
@@ -1,6 +1,6 @@
 """Teams at their limits, with random faults that make charges outdated; fixed seeds, in virtual time.
 
-For 200 new plays: `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0
+For 200 new scenarios: `SPURARCH_MEETINGS=200 python -m pytest -o faulthandler_timeout=0
 tests/test_team_limit_combinations.py`; a failure found this way is added as a scenario file.
 """
 
@@ -11,10 +11,10 @@
 import pytest
 from hypothesis import strategies as st
 
-from tests.sim.random_days import last_trouble, play_days
-from tests.sim.scenario import Play
+from tests.sim.random_scenarios import last_fault_end, play_random_scenarios
+from tests.sim.scenario import ScenarioRun
 from tests.sim.scenario_text import Scenario
-from tests.test_fault_combinations import MORE, machines, moments, nodes, troubles
+from tests.test_fault_combinations import MORE, faults, machines, moments, nodes
 
 BASE = """team t max=60
 team u max=4
@@ -50,7 +50,7 @@
     st.builds("lose-answers for={}".format, st.sampled_from([0.5, 1.5, 3.0])),
     st.builds("kill-leader for={}".format, st.sampled_from([0.3, 4.0])),
     st.builds("hang {} for={}".format, machines, st.sampled_from([4.0, 14.0])),
-    troubles,
+    faults,
 )
 timed = st.builds("at {} {}".format, moments, stale)
 kinds = st.sampled_from(["kind=gang", "kind=daemon priority=production", "priority=high", "priority=normal", ""])
@@ -64,7 +64,7 @@
     kinds,
 )
 cancels = st.builds("at {} cancel job-{}".format, moments, st.sampled_from([2, 3, 4, 5, 5]))
-days = st.builds(
+scenarios = st.builds(
     lambda *parts: "\n".join(
         sorted((line for lines in parts for line in lines), key=lambda line: float(line.split()[1]))
     ),
@@ -74,23 +74,23 @@
 )
 
 
-def play(text: str) -> list[str]:
-    """Problems found in one play. Services are cancelled at the end, so that jobs waiting for their quota can run."""
+def run_scenario(text: str) -> list[str]:
+    """Problems found in one scenario; services are cancelled at the end, so that jobs waiting for quota can run."""
     jobs = [line.split()[3] for line in (BASE + text).splitlines() if " submit " in line]
     services = [line.split()[3] for line in (BASE + text).splitlines() if "kind=daemon" in line]
     late = "\n".join(f"at {DAY_S + 15} cancel {job_id}" for job_id in services if job_id != "job-1")
     scenario = Scenario.parse(f"{BASE}{text}\n{late}\n", {})
-    scenario.end = last_trouble(scenario) + QUIET_S
-    played = Play(scenario)
-    played.run()
-    last = {job_id: played.told.get(job_id, ["nothing"])[-1] for job_id in jobs if job_id != "job-1"}
-    refused = {job_id for job_id in last if beyond_limit(played.world.jobs[job_id])}
+    scenario.end = last_fault_end(scenario) + QUIET_S
+    scenario_run = ScenarioRun(scenario)
+    scenario_run.run()
+    last = {job_id: scenario_run.answers_by_job.get(job_id, ["nothing"])[-1] for job_id in jobs if job_id != "job-1"}
+    refused = {job_id for job_id in last if beyond_limit(scenario_run.world.jobs[job_id])}
     wrong = [
         f"{job_id} is left: {state}"
         for job_id, state in last.items()
         if state not in (("422",) if job_id in refused else ("done", "aborted"))
     ]
-    return played.problems + wrong
+    return scenario_run.problems + wrong
 
 
 def beyond_limit(spec: dict[str, Any]) -> bool:
@@ -101,4 +101,4 @@
 
 @pytest.mark.parametrize("part", range(3))
 def test_teams_stay_within_their_limits(part: int) -> None:
-    play_days(days, play, part, 5, MORE // 3)
+    play_random_scenarios(scenarios, run_scenario, part, 5, MORE // 3)
