--- a/spurarch/coordination/__init__.py
+++ b/spurarch/coordination/__init__.py
@@ -1,1 +1,4 @@
-"""Top layer: who owns what, what runs where, and the life of tasks and machines."""
+"""A controller's decisions: membership, partition ownership, admission, scheduling, commands to workers, and scaling.
+
+This package is above `storage` and `transport`, and below `recovery`.
+"""
--- a/spurarch/coordination/controller.py
+++ b/spurarch/coordination/controller.py
@@ -49,8 +49,9 @@
 class Controller:
     """A controller, which runs until it is killed or has to be restarted in another history of the records.
 
-    `process_incarnation` identifies this process and is unique among all processes of all controllers; None generates
-    it at random. `extension` adds recovery.
+    Histories are defined in `spurarch.storage.history`. `process_incarnation` identifies this process and is unique
+    among all processes of all controllers; None generates it at random. `version` is the program version that the
+    member record announces. `extension` adds recovery.
     """
 
     def __init__(
@@ -197,7 +198,7 @@
     async def _start(self) -> None:
         """Claims partitions before the other records are read, so that workers are answered as early as possible."""
         if self._recovery is not None and not await self._recovery.open_history():
-            # Waits until cancelled: recovery has the controller restarted once another history is open.
+            # Waits until cancelled: `Recovery.run` returns, which ends `run`, once another history is open.
             await curio.Event().wait()
         while True:
             try:
--- a/spurarch/coordination/extension.py
+++ b/spurarch/coordination/extension.py
@@ -21,7 +21,7 @@
         """Whether the records can't be trusted, so that `on_heartbeat` answers heartbeats."""
 
     async def open_history(self) -> bool:
-        """Finds the current history of the records; returns False if there is a sign of data loss."""
+        """Finds the current history of the records (see `storage.history`); returns False on a sign of data loss."""
 
     async def run(self) -> None:
         """Runs recovery; returns when the controller has to be restarted in another history."""
--- a/spurarch/coordination/leader.py
+++ b/spurarch/coordination/leader.py
@@ -1,6 +1,7 @@
-"""Work that only the leader does: admission rounds, final states of jobs, and scale out.
+"""Work that only the leader does: admission rounds, final states of jobs, the audit of the quota ledger, and scale out.
 
-Every transaction guards the leader's record, so it fails once another controller leads.
+Every transaction guards the leader's record, so it fails once another controller leads. A *term* is the time for which
+a process leads, identified by the version of the leader record (see `Membership.confirmed_term`).
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
         self._next_log_at = self._next_round_at = 0.0
 
     async def run(self) -> None:
-        """Runs a round whenever records change or the controller requests one; runs until cancelled."""
+        """Runs rounds after the replica's listeners are woken, by changed records or a timer, until cancelled."""
         while True:
             await self._wakeup.wait()
             self._wakeup.clear()
--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -188,8 +188,8 @@
     def _leadership_is_vacant(self) -> bool:
         """Whether there is no leader, or one that has to be replaced.
 
-        That is an earlier process of this controller, or, while gangs are on record, a version that would start their
-        tasks one by one.
+        A leader has to be replaced if it is an earlier process of this controller, or, while there are records of
+        gangs, if its version would start a gang's tasks one by one.
         """
         leader = self._replica.state.leader
         if leader is None:
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-STABLE_AFTER_S = 4.0  # as a member without a restart, before taking a partition from a live owner
+STABLE_AFTER_S = 4.0  # as a member without a restart, as seen by the assigner, before taking one from a live owner
 ASSIGNMENT_TIMEOUT_S = 2.0
 
 
@@ -42,7 +42,11 @@
 
 
 class _Assignment:
-    """One pass over the zones. Counts of owned partitions include the changes decided so far."""
+    """One pass over the zones.
+
+    Counts of owned partitions include the changes decided so far, except that an owner that has to hand over a zone
+    from which it receives no heartbeats keeps its count.
+    """
 
     def __init__(
         self,
@@ -63,7 +67,10 @@
         return partition.node if partition is not None and partition.node in self._members else None
 
     def new_owner(self, zone: str) -> str | None:
-        """Returns the member that should take over the zone's partition, and counts it; None if the owner stays."""
+        """Returns the member that should take over the zone's partition, and counts the partition for that member.
+
+        Returns None if the owner stays, or if there is no member to choose.
+        """
         owner = self._living_owner(zone)
         receiving = [member for member in self._members.values() if zone not in member.isolated_zones]
         if not receiving and owner is not None:
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -19,8 +19,9 @@
 class Permissions:
     """Checked before every heartbeat response, command, machine release, and conclusion from missing heartbeats.
 
-    `now` is monotonic time in seconds. `cancel_s` is the deployment's time within which the tasks of a cancelled job
-    have to be off their machines.
+    "Fresh", "freshness bound" and "attestation of freshness" are defined in `store_reachability`. `now` is monotonic
+    time in seconds. `cancel_s` is the deployment's time within which the tasks of a cancelled job have to be off their
+    machines.
     """
 
     def __init__(
@@ -36,15 +37,25 @@
         self._cancel_s = cancel_s
 
     def may_answer(self, now: float) -> bool:
-        """Whether heartbeats may be answered; renewed leases then can't make a missed cancellation overdue."""
+        """Whether heartbeats may be answered.
+
+        They may while the freshness bound is recent enough: a lease renewed now then ends before any cancellation that
+        this controller hasn't received is overdue.
+        """
         return self.reachability.may_answer(self._replica.synced_at, now)
 
     def may_command(self, now: float) -> bool:
-        """Whether commands may be sent: heartbeats may be answered, and no stall followed the newest attestation."""
+        """Whether commands may be sent: heartbeats may be answered, and no stall followed the newest attestation.
+
+        Like `is_confirmed_since_stall`, this tells the stall detector that the process runs at `now`.
+        """
         return self.may_answer(now) and self.is_confirmed_since_stall(now)
 
     def is_confirmed_since_stall(self, now: float) -> bool:
-        """Whether the process never stalled, or has an attestation of freshness from after it resumed."""
+        """Whether the process never stalled, or has an attestation of freshness from after it resumed.
+
+        Also tells the stall detector that the process runs at `now`, so a stall that ends with this call is detected.
+        """
         return self._stall_detector.confirmed_since_stall(
             now, self.reachability.freshness_bound(self._replica.synced_at)
         )
@@ -52,8 +63,8 @@
     def records_are_fresh(self, now: float) -> bool:
         """Whether the copy of the records is recent and can be trusted.
 
-        While it isn't, another controller may own the partition, so work that can wait, such as improving a placement,
-        is postponed.
+        While the copy isn't fresh, another controller possibly owns the partition already. So work that can wait, such
+        as preemption, the local search and the release of idle or silent machines, is postponed.
         """
         return (
             now - self._replica.synced_at < FRESH_COPY_AGE_S
@@ -62,16 +73,16 @@
         )
 
     def owns(self, partition: Partition) -> bool:
-        """Whether this process still owns the partition in the epoch for which its state in memory was created.
+        """Whether, by the copy of the records, this process owns the partition in the epoch of its state in memory.
 
-        In a later epoch, even if this process owns that too, the state may be outdated: another controller may have
-        owned the partition in between.
+        Every change of owner raises the epoch (see `PartitionRecord`). If this process owns the partition again in a
+        later epoch, the state in memory is possibly outdated, as another controller can have been the owner in between.
         """
         record = self._membership.owned_record(partition.zone)
         return record is not None and record.epoch == partition.epoch
 
     def is_owned_by_peer(self, zone: str) -> bool:
-        """Whether a peer reported, from newer records, that another controller owns the zone's partition."""
+        """Whether a peer reported that another controller owns the zone's partition in a later epoch than on record."""
         reported = self.reachability.reported_owners.get(zone)
         if reported is None or reported.node == self._membership.node:
             return False
@@ -81,8 +92,9 @@
     def time_since_cancellation(self, job: str) -> float | None:
         """Seconds since a job was cancelled, or None if neither the records nor the peers report a cancellation.
 
-        For a cancellation on record, the result is limited to 0..`cancel_s`, and is 0 if the record holds no time. For
-        one that only peers reported, it is the time since the first report.
+        If the job's record holds the cancellation, the result is computed by the wall clock and limited to
+        0..`cancel_s`; it is 0 if the record holds no time. If only peers reported the cancellation, the result is the
+        time since the first report.
         """
         record = self._replica.state.jobs.get(job)
         if record is not None and record.cancelled:
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -7,19 +7,21 @@
 every cancellation that any controller confirmed before T. The time of the newest attestation, the *freshness bound*, is
 the latest of
   - the time at which the newest successful read of the state service was sent;
-  - the same for a peer, whose pong lists all cancellations in its copy of the records: the time at which this
-    controller sent the ping, less the age of that copy;
-  - the earliest, over *all* peers, of the latest ping that the peer answered with an attestation. A peer's process
-    attests to the cancellations that its node confirmed: to its own, which its pong lists; and to those of the node's
-    earlier processes, if it has read the state service since it started, or started before the freshness bound. A
-    process that restarted within an outage can't attest: its predecessor may have confirmed a cancellation and ended
-    (docs/incidents/2026-12-02-gap.md).
-A missing response attests to nothing: even if no controller reaches the service now, one may have confirmed a
-cancellation before.
-
-The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` renews its worker's lease for
-`lease_s` at most, so every task is off its machine before `freshness bound + cancel_s`, and this controller has
-received every cancellation confirmed before the bound.
+  - the same for any peer, since its pong lists all cancellations in its copy of the records: the time at which this
+    controller sent the ping, less the age of the peer's copy, or the time of the ping itself if the peer has read the
+    state service to answer it;
+  - a time for which *all* peers have attested: each peer has a latest ping that it answered with an attestation, and
+    this is the earliest sending time of these pings. A peer's process attests that it has listed every cancellation
+    that its node confirmed. It can do so for the cancellations that it confirmed itself, and for those of the node's
+    earlier processes only if it has read the state service since it started, or started before the freshness bound. A
+    process that restarted within an outage can't attest, since its predecessor can have confirmed a cancellation
+    and then ended (docs/incidents/2026-12-02-gap.md).
+A peer that doesn't respond attests to nothing: even if no controller reaches the service now, that peer can have
+confirmed a cancellation before.
+
+The last heartbeat answered before `freshness bound + cancel_s - lease_s - margin` (with an allowance for differing
+clock rates) renews its worker's lease for `lease_s` at most, so every task is off its machine before `freshness bound +
+cancel_s`, and this controller has received every cancellation confirmed before the bound.
 
 All times are monotonic, in seconds.
 """
@@ -57,7 +59,8 @@
 
     Attributes:
         freshness_limit_s: Age of the freshness bound from which on heartbeats may not be answered.
-        reported_cancellations: By job, when a peer first reported its cancellation.
+        reported_cancellations: By job, when a peer first reported its cancellation. Entries are dropped once the copy
+            of the records contains the cancellation.
         reported_owners: By zone, the reported owner with the highest epoch.
         peer_reached_store_at: When the latest ping was sent that a peer with access to the state service answered.
     """
@@ -103,12 +106,15 @@
             self._attested_at[peer] = max(self._attested_at[peer], sent_at)
 
     def record_cancelled(self, jobs: list[str], now: float) -> None:
-        """Records cancellations that a peer reported."""
+        """Records cancellations that a peer reported at `now`, in a pong or a `JobsCancelled` message."""
         for job_id in jobs:
             self.reported_cancellations.setdefault(job_id, now)
 
     def discard_synced_cancellations(self, synced_at: float) -> None:
-        """Drops cancellations reported before the newest read of the state service: the copy contains them."""
+        """Drops cancellations reported before the newest read of the state service was sent at `synced_at`.
+
+        The copy of the records contains them, since controllers report cancellations only after committing them.
+        """
         if self.reported_cancellations:
             self.reported_cancellations = {
                 job_id: at for job_id, at in self.reported_cancellations.items() if at >= synced_at
@@ -122,7 +128,11 @@
         return process_incarnation in (None, response.process_incarnation)
 
     def outage(self, now: float) -> bool:
-        """Whether peers respond but don't reach the state service either, which indicates an outage of the service."""
+        """Whether peers respond to pings, but none that reaches the state service does.
+
+        If this controller doesn't reach the service either, that indicates an outage of the service. Peers are pinged
+        only while this controller's own reads fail.
+        """
         responding = any(now - response.received_at < RESPONSE_VALID_S for response in self._last_responses.values())
         return responding and now - self.peer_reached_store_at > RESPONSE_VALID_S
 
--- a/spurarch/coordination/partition/__init__.py
+++ b/spurarch/coordination/partition/__init__.py
@@ -1,1 +1,4 @@
-"""A partition in its owner's hands: machine and attempt state machines, heartbeats, commands, records."""
+"""What a controller does for the partitions that it owns.
+
+It tracks machines and task attempts, answers heartbeats, sends commands to workers, and writes the partition's records.
+"""
--- a/spurarch/coordination/partition/allocation_changes.py
+++ b/spurarch/coordination/partition/allocation_changes.py
@@ -12,7 +12,7 @@
 
 
 def is_uncancelled_job(cluster: ClusterState, job: str) -> bool:
-    """Whether the job is on record and not cancelled."""
+    """Whether the job has a record, which is deleted when the job ends, and isn't cancelled."""
     record: JobRecord | None = cluster.jobs.get(job)
     return record is not None and not record.cancelled
 
@@ -25,7 +25,7 @@
 
 
 def is_uncancelled_gang(cluster: ClusterState, job: str) -> bool:
-    """Whether the job is on record, not cancelled, and a gang."""
+    """Whether `is_uncancelled_job` holds for the job and the job is a gang."""
     return is_uncancelled_job(cluster, job) and cluster.jobs[job].spec.kind == wire.GANG
 
 
@@ -39,8 +39,8 @@
 def _still_applies(entry: TaskEntry, new: TaskEntry, gang: bool) -> bool:
     """Whether a planned change still applies to the current entry of its task.
 
-    A new attempt has the next number; in a gang, the next that no member has had. Every other change applies only to
-    the attempt for which it was planned.
+    A new attempt has the next number; in a gang, any higher number, as it is the next one that no member has had. Every
+    other change applies only to the attempt for which it was planned.
     """
     if new.state == records.ASSIGNED:
         newer = new.attempt > entry.attempt if gang else new.attempt == entry.attempt + 1
@@ -53,7 +53,7 @@
 ) -> AllocationRecord | None:
     """Returns a copy of an allocation with some entries replaced, or None if no change applies any more.
 
-    Members of a gang are assigned together: if the entry of one has changed meanwhile, none is assigned.
+    Members of a gang are assigned together: if the entry of one has changed meanwhile, no change is made to the record.
     """
     entries, changed = [], False
     for entry in record.tasks:
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -50,7 +50,11 @@
         self._awaiting_connection: set[str] = set()  # names of machines whose commands wait for a connection
 
     async def send(self, owned: OwnedPartition) -> None:
-        """Sends the commands that machines need by the newest records; heartbeat responses repeat undelivered ones."""
+        """Starts sending the commands that machines need; heartbeat responses repeat commands that don't arrive.
+
+        Applies pending record changes to the partition first. Returns before the commands are sent, which background
+        tasks do.
+        """
         partition = owned.partition
         if partition.state.records_read:
             self._feed.update(owned)
@@ -68,7 +72,8 @@
                 or name in self._awaiting_connection
                 or (silent and name not in partition.machines_with_cancelled_tasks)
             ):
-                continue  # a silent machine would block a connection until the timeout
+                # Commands to a silent machine would use a connection until the timeout, so it gets only urgent ones.
+                continue
             machine.next_command_at = now + (SILENT_REQUEST_INTERVAL_S if silent else MIN_REQUEST_INTERVAL_S)
             self._awaiting_connection.add(name)
             await curio.spawn(self._send_to_machine, owned, machine, daemon=True)
--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -17,10 +17,11 @@
         self._state, self._context = state, context
 
     def plan(self, machine: Machine, heartbeat: wire.Heartbeat | None) -> list[wire.Command]:
-        """Returns the commands that the worker needs now.
+        """Returns the commands that the worker needs now, and moves ASSIGNED attempts that are started to STARTING.
 
-        All of them are idempotent, except that a start repeated after a forget runs the attempt again. Forgets come
-        first, so that a worker does not refuse a task whose earlier attempt it still lists.
+        With a heartbeat, it also limits `machine.exits_to_forget` to the exits that the heartbeat lists. All commands
+        are idempotent, except that a start repeated after a forget runs the attempt again. Forgets come before starts,
+        so that a worker does not refuse a task whose earlier attempt it still lists.
 
         Args:
             machine: The worker's machine.
@@ -53,7 +54,10 @@
         """Returns the exited tasks that the worker may forget, with their attempt numbers.
 
         If the state service loses its data, a recorded exit is lost too. Until the archive covers the record, the
-        worker's heartbeats are the only other evidence of the exit.
+        worker's heartbeats are the only other evidence of the exit. A worker keeps at most `MAX_UNARCHIVED_EXITS` such
+        exits; beyond that, it may forget the oldest although the archive doesn't hold them.
+
+        Exits that need not wait any longer are also removed from `machine.unarchived_exits`.
         """
         unarchived = [
             (key, revision)
@@ -64,7 +68,12 @@
         return {key: attempt for key, attempt in machine.exits_to_forget.items() if key not in machine.unarchived_exits}
 
     def _is_checkpointing(self, attempt: TaskAttempt) -> bool:
-        """Whether a task being stopped has time left to checkpoint; workers still report gang members as running."""
+        """Whether a task being stopped still has time to checkpoint, so that its stop need not be repeated.
+
+        The time counts from the acknowledgement of a direct stop command. Without one, a reported checkpoint (phase
+        STOPPING) counts, without a time limit. The phase alone is not enough, since workers report gang members that
+        checkpoint as running.
+        """
         if attempt.grace_s <= 0:
             return False
         if attempt.stop_acknowledged_at is not None:
@@ -99,7 +108,11 @@
 
     @staticmethod
     def _stops_for_unrecorded(machine: Machine, heartbeat: wire.Heartbeat) -> list[wire.Command]:
-        """Returns stops and forgets for the listed tasks that no record assigns to this machine."""
+        """Returns stops and forgets for the listed tasks that no record assigns to this machine.
+
+        Exited tasks in `machine.exits_to_forget` are left out, since `plan` handles them; entries of that table that
+        the heartbeat no longer lists are removed.
+        """
         out: list[wire.Command] = []
         listed: dict[TaskKey, int] = {}
         for task in heartbeat.tasks:
@@ -117,7 +130,10 @@
         return out
 
     def needs_command(self, machine: Machine) -> bool:
-        """Whether an attempt on the machine has to start or stop and the worker may not have received the command."""
+        """Whether direct commands are needed: a first start command for an attempt, or a stop command.
+
+        Starts that were sent before are repeated only together with other commands and in heartbeat responses.
+        """
         return machine.state is MachineState.ACTIVE and any(
             (attempt.phase is AttemptPhase.ASSIGNED and not attempt.stop_requested and self._may_start(attempt))
             or (
--- a/spurarch/coordination/partition/direct_commands.py
+++ b/spurarch/coordination/partition/direct_commands.py
@@ -61,7 +61,7 @@
         Args:
             machine: The worker's machine.
             sent: The request.
-            heartbeat: The worker's status in the response; None if the response could not be decoded.
+            heartbeat: The worker's status in the response; None if the response has none or could not be decoded.
             now: Monotonic time in seconds.
         """
         machine.commands_in_flight -= 1
--- a/spurarch/coordination/partition/failures.py
+++ b/spurarch/coordination/partition/failures.py
@@ -1,4 +1,4 @@
-"""Attributes task failures to machines, which are quarantined, or to jobs, whose retries are delayed. No I/O."""
+"""Delays the retries of jobs after task failures, and quarantines machines to which failures are attributed. No I/O."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         self.backoffs: dict[str, JobBackoff] = defaultdict(JobBackoff)
 
     def record_exit(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
-        """Updates backoffs and quarantines by the exit reason of an attempt."""
+        """Updates the job's backoff and the machine's backoff and quarantine by the exit reason of an attempt."""
         backoff = self.backoffs[attempt.allocation.job]
         if attempt.exit_reason == wire.REASON_ERROR:
             self._attribute_to_machine(machine, backoff)
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -1,12 +1,12 @@
 """Gangs: jobs whose tasks run at the same time or not at all. No I/O and no clock.
 
 All members of a gang are in one partition. They share the number of their attempt, by which workers find each other, so
-a number is never used for two sets of machines. The partition owner therefore follows three rules:
+a number is never used for two sets of machines. The partition owner therefore relies on three rules:
 
 - It sends start commands only when the records assign *every* member under the same number. The next owner of the
   partition reads the same records, and repeats either all of these starts or none.
-- The attempt has failed once a member has left its machine without completing: the owner stops the other members, and
-  assigns the next number only when the records show that no member is assigned any more.
+- The attempt has failed once a member has left its machine without completing, or has to be stopped: the owner stops
+  the other members, and assigns the next number only when the records show that no member is assigned any more.
 - Members complete together, so one that is reported or recorded as completed proves that all have.
 """
 
@@ -96,7 +96,7 @@
         if state is self.state:
             return
         if state not in _NEXT_STATES[self.state]:
-            return  # an older message of a member; a gang never returns to an earlier state of the same attempt
+            return  # derived from a member's older message; an attempt that has started never returns to earlier states
         log.debug("gang state changed job=%s attempt=%d state=%s", self.job, self.attempt, state.value)
         self.state = state
 
@@ -175,7 +175,11 @@
         return []
 
     def grace_s(self) -> float:
-        """Returns the seconds that members get to checkpoint; 0 once one has left, as they only checkpoint together."""
+        """Returns the seconds that further members to be stopped get to checkpoint.
+
+        That is the shortest grace period of the members whose stop was requested; 0 if there is none, or once a member
+        has left, as members only checkpoint together.
+        """
         if any(member.phase >= AttemptPhase.EXITED for member in self.members.values()):
             return 0.0
         requested = [member.grace_s for member in self.members.values() if member.stop_requested]
--- a/spurarch/coordination/partition/heartbeats.py
+++ b/spurarch/coordination/partition/heartbeats.py
@@ -14,7 +14,9 @@
 log = logging.getLogger(__name__)
 
 PROBE_LEASES = 0.6  # lease durations after an acknowledgement; then a new token tests whether responses arrive
-RESPONSES_LOST_LEASES = 0.5  # lease durations; several heartbeats, and a worker acknowledges with its next one
+# Lease durations without an acknowledgement of an offered token after which responses count as lost. They span several
+# heartbeats, and a worker acknowledges a token with the first heartbeat after it receives the token.
+RESPONSES_LOST_LEASES = 0.5
 MAX_LOGGED_REJECTIONS = 5000  # machines; one log line each
 
 
@@ -36,14 +38,19 @@
     def handle(self, heartbeat: wire.Heartbeat, now: float, may_command: bool = True) -> list[wire.Command] | None:
         """Applies a heartbeat and returns the commands for its response.
 
-        Heartbeats may be duplicated, delayed and reordered. Only one that is newer than all applied before, and that
-        carries a fencing token issued to this machine by this owner, changes the tables.
+        Heartbeats can be duplicated, delayed and reordered. Only a heartbeat that is newer than all applied before, and
+        whose fencing token this owner issued after it added the machine, updates the status of the machine and its
+        tasks. Any other accepted heartbeat adds a machine that is new, and offers it a fencing token. Every call sets
+        the time of the partition's state to `now`.
+
+        Attempts to be stopped that the worker no longer lists become GONE, and attempts whose start is returned become
+        STARTING.
 
         Args:
             heartbeat: The worker's heartbeat.
             now: Monotonic time in seconds.
-            may_command: Whether this owner may send commands. If not, another controller may own the partition, and the
-                response only renews the worker's lease.
+            may_command: Whether this owner may send commands. If it may not, another controller possibly owns the
+                partition already, and the response only renews the worker's lease.
 
         Returns:
             The commands, or None if the response must not have status 200, which would renew the lease.
@@ -54,7 +61,7 @@
         if machine is None:
             return None
         if machine.has_applied(heartbeat):
-            return []  # a duplicate or an older one, but the worker may still wait for a response
+            return []  # a duplicate or older heartbeat, but the worker possibly still waits for a response
         self._statuses.apply(machine, heartbeat, now)
         self._probe_acknowledgement(machine, now)
         if not may_command or machine.state is not MachineState.ACTIVE:
@@ -70,7 +77,11 @@
         return commands
 
     def _accepted_machine(self, heartbeat: wire.Heartbeat) -> Machine | None:
-        """Returns the sender's machine; None if it was released, its lease expired, or a later owner answered it."""
+        """Returns the sender's machine, which is added if it is new; returns None if the heartbeat is rejected.
+
+        It is rejected if the machine was released, the lease of the sender's incarnation expired, or the fencing token
+        isn't one of this owner or an earlier one. Some rejections are logged, once per machine.
+        """
         state = self._state
         if heartbeat.machine in state.released_machines:
             self._log_rejected(heartbeat, "machine was released")
@@ -106,7 +117,8 @@
     def _probe_acknowledgement(self, machine: Machine, now: float) -> None:
         """Issues new tokens periodically to find out whether heartbeat responses reach the machine.
 
-        Otherwise a machine that sends heartbeats but receives no responses would count as active and idle forever.
+        Sets `responses_lost` if a token isn't acknowledged in time; `Machine.acknowledge` resets it. Without this
+        check, a machine that sends heartbeats but receives no responses would count as active and idle forever.
         """
         if machine.token_offered_at is not None:
             # Workers acknowledge a higher token within a few heartbeats if they receive the responses.
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -3,10 +3,12 @@
     ASSIGNED -> STARTING -> FETCHING -> (GATHERING ->) RUNNING -> (STOPPING ->) EXITED
         any phase before EXITED -> GONE once it is proved that the task is no longer on the machine
 
-An attempt is removed once its exit or absence is on record.
+Phases can be skipped, since the worker's messages need not arrive in time. A running task whose worker reports it as
+fetching returns to FETCHING. An attempt is removed once the records no longer assign it, which is usually after its
+exit or absence has been recorded.
 
-Every change of an attempt's phase goes through `TaskAttempt.transition`, and every change of a machine's state through
-`Machine.transition`.
+Every change of an attempt's phase is checked by `TaskAttempt.transition`, which `PartitionState.transition` calls, and
+every change of a machine's state by `Machine.transition`.
 """
 
 from __future__ import annotations
@@ -26,14 +28,14 @@
 class AttemptPhase(enum.IntEnum):
     """Progress of an attempt on its machine."""
 
-    ASSIGNED = 0  # on record; this process has not sent a start command
-    STARTING = 1  # a start command was sent
+    ASSIGNED = 0  # by the allocation record; this process has neither sent a start command nor requested a stop
+    STARTING = 1  # a start was sent, or a stop was requested and an earlier owner or process may have sent a start
     FETCHING = 2
     GATHERING = 3  # a gang member that waits for the other members of its attempt
     RUNNING = 4
     STOPPING = 5
-    EXITED = 6  # the worker reported the exit, which is not on record yet
-    GONE = 7  # proved to be no longer on its machine, which is not on record yet
+    EXITED = 6  # the worker reported the exit; the allocation record still assigns the task
+    GONE = 7  # proved to be no longer on its machine; the allocation record still assigns the task
 
 
 _AFTER_START = {
@@ -73,7 +75,9 @@
         exit_reason: Why it exited, as reported by the worker; set in phase EXITED.
         stop_requested: It has to be stopped.
         grace_s: Seconds that it gets to checkpoint when it is stopped.
-        stop_acknowledged_at: When the worker confirmed the stop command.
+        assigned_at: When this owner first read the assignment, not when the assignment was decided.
+        stop_acknowledged_at: When the worker's response to direct commands confirmed a stop command.
+        running_at: When its phase last became RUNNING, by a message of the worker.
         start_sent_seq: Sequence number of the newest worker message that may have been sent before the start command
             arrived. Only later messages that do not list the task prove that it is not on the machine.
         terminated_at: When its exit or absence was proved.
@@ -143,7 +147,9 @@
         first_token_counter: The first `token_counter` issued to it; all earlier messages of this owner carried lower
             ones.
         acknowledged_token_counter: The highest counter that it has acknowledged, by a message that carries it.
-        token_offered_at: When `token_counter` was first sent to it; None once it has acknowledged that.
+        token_offered_at: Since when an acknowledgement of the counter in heartbeat responses is awaited, to find out
+            whether the responses arrive; None while none is awaited. A counter that is raised only to fence late direct
+            commands doesn't set it.
         token_acknowledged_at: When it last acknowledged a higher counter, which only this owner can have sent to it.
         responses_lost: Its heartbeats arrive, but it does not acknowledge the token in the heartbeat responses.
         fence_below_token: Direct commands with a lower fencing token may still arrive and take effect until the worker
@@ -217,7 +223,10 @@
         return (heartbeat.incarnation, heartbeat.seq) <= (self.incarnation, self.heartbeat_seq)
 
     def acknowledge(self, fencing_token: int, counter: int, now: float) -> None:
-        """Records the token of a worker's message; a higher one than before proves that responses reach the worker."""
+        """Records the token of a worker's message.
+
+        A higher token than before proves that the worker received a heartbeat response or direct commands with it.
+        """
         self.highest_token_seen = max(self.highest_token_seen, fencing_token)
         if counter > self.acknowledged_token_counter:
             self.acknowledged_token_counter = counter
@@ -243,7 +252,10 @@
         return self.commands_in_flight == 0 and self.highest_token_seen >= self.fence_below_token
 
     def is_schedulable(self, now: float) -> bool:
-        """Whether it may be assigned new tasks: it can accept them and is on record as schedulable."""
+        """Whether it may be assigned new tasks.
+
+        That is so if it can accept them, its record has it as schedulable, and it hasn't refused a task recently.
+        """
         return self.schedulable and now >= self.backoff_until and self.can_accept_tasks(now)
 
     def can_accept_tasks(self, now: float) -> bool:
--- a/spurarch/coordination/partition/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -24,7 +24,9 @@
     from spurarch.coordination.partition.terminal_records import TerminalRecords
     from spurarch.coordination.scheduling.placement import TaskPlacer
 
-SILENT_HEARTBEATS = 2.5  # heartbeat intervals without a heartbeat after which a machine counts as silent
+# Heartbeat intervals without a heartbeat after which commands and placement treat a machine as silent. The release of
+# silent machines has limits of its own, in `scaling.silent_machines`.
+SILENT_HEARTBEATS = 2.5
 
 
 class OwnerContext(Struct, frozen=True):
@@ -49,7 +51,7 @@
 
     @property
     def silent_s(self) -> float:
-        """Seconds without a heartbeat after which a machine counts as silent."""
+        """Seconds without a heartbeat after which commands and placement treat a machine as silent."""
         return SILENT_HEARTBEATS * self.deployment.workers.heartbeat_interval_s
 
 
@@ -69,7 +71,8 @@
         is_running: Whether the event-loop tasks that run rounds and send commands were started.
         provisional: Whether records that were read before the claim were applied, since newer ones could not be read;
             until they are, the partition's state is used only to stop cancelled tasks.
-        mostly_silent: Whether most machines of the partition are silent, by `is_mostly_silent`.
+        mostly_silent: Whether most machines of the partition are silent, by `scaling.silent_machines.is_mostly_silent`,
+            which has a threshold of its own.
         mostly_silent_since: Since when most machines are silent; None if they aren't.
     """
 
--- a/spurarch/coordination/partition/owner.py
+++ b/spurarch/coordination/partition/owner.py
@@ -36,7 +36,8 @@
         owned: Owned partitions by zone. One whose ownership ended stays in it until the next update.
         permissions: Which actions this controller may take at present.
         scale_in: Releases machines of the owned partitions.
-        unregistered_machine_found: Set when a heartbeat arrives from a zone that its owner has marked as unreachable.
+        unregistered_machine_found: Set when a heartbeat arrives here from a zone that another controller owns and has
+            marked as unreachable.
     """
 
     def __init__(self, context: OwnerContext) -> None:
@@ -126,14 +127,14 @@
         return None
 
     async def _redirect(self, heartbeat: wire.Heartbeat, now: float) -> Response:
-        """Answers a worker whose zone isn't owned by this process."""
+        """Answers a worker whose zone isn't owned by this process, and counts it in `unregistered_machines`."""
         zone = heartbeat.zone
         if zone in self._deployment.zones:
             self._unregistered_machines.setdefault(zone, {})[heartbeat.machine] = now
         if zone in self._context.view.unreachable_zones():
             # The zone's owner receives no heartbeats from it. A redirect to that owner would use up the rest of the
-            # worker's lease. Without a target, the worker tries the next controller, which may have a newer owner on
-            # record.
+            # worker's lease. Without a target, the worker tries the next controller, whose copy of the records possibly
+            # names a newer owner.
             await self.unregistered_machine_found.set()
             return Response(421)
         partition = self._replica.state.partitions.get(zone)
@@ -142,7 +143,10 @@
         return Response(421, wire.encode(wire.Redirect(partition.node)))
 
     def unregistered_machines(self, now: float) -> list[tuple[str, int]]:
-        """Counts, by zone, the workers that recently sent heartbeats here though another controller owns their zone."""
+        """Returns zones not owned here, with the number of workers that recently sent heartbeats here nevertheless.
+
+        Also forgets the workers whose last such heartbeat is older than `UNREGISTERED_VALID_S`.
+        """
         for zone, machines in self._unregistered_machines.items():
             self._unregistered_machines[zone] = {
                 name: at for name, at in machines.items() if now - at < UNREGISTERED_VALID_S
@@ -177,9 +181,11 @@
     # Rounds and commands
 
     async def run(self) -> None:
-        """Updates the set of owned partitions, and wakes those whose records changed, until cancelled.
+        """Updates the set of owned partitions, and starts their event-loop tasks, until cancelled.
 
-        Every partition has its own tasks in the event loop, so that none waits for another's transactions.
+        Wakes partitions whose records changed or whose tick is due, and releases machines with overdue cancelled tasks
+        in zones without an owner. Every partition has its own tasks in the event loop, so that none waits for another's
+        transactions.
         """
         while True:
             await self._wakeup.wait()
@@ -209,9 +215,9 @@
         """Sends commands to workers, even while the rounds' transactions wait for the rate limit.
 
         The tasks of a cancelled job have to leave their machines in time, however few writes the rate limit leaves
-        (docs/incidents/2026-12-02-commands-behind-records.md). Silent machines are detected here as well: rounds
-        detected them so late that a controller partitioned from its workers released the machines before it noticed the
-        partition.
+        (docs/incidents/2026-12-02-commands-behind-records.md). Silent and overdue machines are detected and released
+        here too, not in rounds: rounds detected silent machines so late that a controller partitioned from its workers
+        released the machines before it noticed the partition.
         """
         partition = owned.partition
         while self.owned.get(partition.zone) is owned and self.permissions.owns(partition):
--- a/spurarch/coordination/partition/partition.py
+++ b/spurarch/coordination/partition/partition.py
@@ -27,7 +27,7 @@
 class Partition:
     """The machines and tasks of one zone in one epoch of its ownership.
 
-    Other components read the tables; the components created here share `state` and change them.
+    The components created here share `state` and change its tables; other components read the tables.
 
     Attributes:
         state: The tables and the time of the last update.
@@ -98,7 +98,7 @@
     # Time
 
     def tick(self, now: float) -> None:
-        """Expires leases and updates since when machines are idle."""
+        """Sets the time, expires leases, updates since when machines are idle, and stops gangs that failed thereby."""
         self.state.now = now
         for machine in self.machines.values():
             if machine.lease_expired(now, self._lease_s):
--- a/spurarch/coordination/partition/record_feed.py
+++ b/spurarch/coordination/partition/record_feed.py
@@ -63,6 +63,6 @@
         return True
 
     def stop_jobs_reported_cancelled(self, owned: OwnedPartition) -> None:
-        """Stops tasks of jobs that peers report as cancelled while the state service can't be reached."""
+        """Requests stops of tasks whose job was cancelled according to peers and possibly not yet by the records."""
         for job_id in self._reachability.reported_cancellations:
             owned.partition.stop_job(job_id, time.monotonic())
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -39,7 +39,7 @@
     Attributes:
         write: The write of another record, or the deletion of the allocation.
         allocation: The allocation that is changed or deleted.
-        entries: New entries by task index; None for a deletion.
+        entries: New entries by task index; None for a deletion and for another record.
         starting: Whether some of the entries assign a task to a machine.
     """
 
@@ -50,8 +50,9 @@
 
 
 def machine_writes(partition: Partition, cluster: ClusterState, now: float) -> list[Write]:
-    """Returns the writes for machines that are new, cordoned, schedulable again, or released.
+    """Returns the writes for machines whose record is missing or outdated, and the deletions of released ones' records.
 
+    The record is outdated if the machine's type or address differs, or if `Machine.can_accept_tasks` has changed.
     Removes released machines without a record from the partition.
     """
     out = []
@@ -87,12 +88,13 @@
         self._max_tasks_per_record = records.tasks_per_record(context.deployment.state.value_bytes)
 
     async def commit(self, owned: OwnedPartition, changes: AllocationChanges, other: list[Write]) -> None:
-        """Writes changes in transactions that guard the records of the partition and of the jobs concerned.
+        """Writes changes in transactions that guard the partition's record and, for starts, the records of the jobs.
 
-        Machines and replicas of services are written first. The rest may wait long for the rate limit, so a background
-        task writes it: otherwise a replica that has to start meanwhile would wait as well (tests/test_mass_starts.py).
-        Ends of array tasks are written along with starts. Deletions wait until no other writes do, but at most
-        `DELETE_INTERVAL_S`, since an allocation uses its team's quota until it is deleted.
+        Machines and the tasks of services and gangs are written first. The other changes can wait long for the rate
+        limit, so a background task writes them: otherwise a replica that has to start meanwhile would wait as well
+        (tests/test_mass_starts.py). While that task runs, later rounds don't write such changes; they decide on them
+        again when it has ended. Ends of array tasks are written along with starts. Deletions wait until no other writes
+        do, but at most `DELETE_INTERVAL_S`, since an allocation uses its team's quota until it is deleted.
 
         Args:
             owned: The partition.
--- a/spurarch/coordination/partition/rounds.py
+++ b/spurarch/coordination/partition/rounds.py
@@ -117,7 +117,10 @@
         return checkpoint_grace_s(job.spec) if job is not None else 0.0
 
     def _search_if_due(self, owned: OwnedPartition, now: float) -> None:
-        """Runs a local search if one is due; ends the draining of machines while tasks wait for capacity."""
+        """Runs a local search if one is due; ends the draining of machines while tasks wait for capacity.
+
+        The first call only schedules the search, and a search is left out while the copy of the records isn't fresh.
+        """
         if owned.partition.unassigned:
             for machine in owned.partition.machines.values():
                 machine.draining = False
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -67,6 +67,7 @@
         self.zone, self.epoch = zone, epoch
         self.lowest_token = epoch << TOKEN_BITS  # the lowest fencing token of this epoch
         self.highest_token_counter = 0  # the highest counter that was issued to any machine
+        # `claimed_at` is when this state was created, which is soon after the partition was claimed.
         self.claimed_at = self.now = now
         self.capacity_added_at = now  # when a machine last became active
         self.unreachable = False  # no controller receives heartbeats from the zone
@@ -92,7 +93,7 @@
         return self.lowest_token + machine.token_counter
 
     def next_token_counter(self) -> int:
-        """Returns an unused counter; a heartbeat that carries it proves that the worker received it from this owner."""
+        """Issues and returns a new counter; a message that carries it proves that the worker got it from this owner."""
         self.highest_token_counter += 1
         return self.highest_token_counter
 
@@ -112,7 +113,11 @@
     # Attempts
 
     def transition(self, attempt: TaskAttempt, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
-        """Changes an attempt's phase, queues a terminal attempt for recording; returns False for an invalid change."""
+        """Changes an attempt's phase; returns False for an invalid change.
+
+        A terminal attempt is queued for recording and counts as a scheduling trigger. The attempt's gang is marked as
+        changed.
+        """
         if not attempt.transition(phase, exit_reason):
             return False
         if phase in (AttemptPhase.EXITED, AttemptPhase.GONE):
@@ -179,7 +184,7 @@
         return attempts
 
     def remove_allocation(self, allocation: AllocationKey) -> None:
-        """Removes an allocation whose record was deleted."""
+        """Removes an allocation whose record was deleted, and the job's gang if it was the job's last one here."""
         self.attempts_by_allocation.pop(allocation, None)
         self.allocations_by_job[allocation.job].discard(allocation)
         if not self.allocations_by_job[allocation.job]:
--- a/spurarch/coordination/partition/statuses.py
+++ b/spurarch/coordination/partition/statuses.py
@@ -36,8 +36,8 @@
         """Applies a message of a worker, unless it is outdated or its fencing token was not issued by this owner.
 
         A machine becomes active with the first message that carries a fencing token issued since this owner added the
-        machine. Duplicates of older messages cannot carry one. So they never reactivate a released machine, nor make a
-        new owner consider a silent machine active, however many arrive.
+        machine. Duplicates of older messages cannot carry such a token. So they never reactivate a released machine,
+        nor make a new owner consider a machine active that no longer sends heartbeats, however many duplicates arrive.
         """
         state = self._state
         if machine.has_applied(heartbeat):
--- a/spurarch/coordination/partition/stopping.py
+++ b/spurarch/coordination/partition/stopping.py
@@ -45,7 +45,10 @@
         return machine is not None and machine.state is MachineState.ACTIVE and not machine.responses_lost
 
     def checkpoint_gangs(self, machine: Machine, notice_s: float) -> None:
-        """Requests the stop of running gangs on a machine with a termination notice, if all members can checkpoint."""
+        """Requests the stop of running gangs on a machine with a termination notice.
+
+        Only gangs that checkpoint, and whose grace period ends before the cloud terminates the machine, are stopped.
+        """
         for attempt in machine.attempts.values():
             gang = self._state.gangs.get(attempt.allocation.job)
             if gang is None or attempt.stop_requested or gang.state is not GangState.RUNNING:
--- a/spurarch/coordination/partition/terminal_records.py
+++ b/spurarch/coordination/partition/terminal_records.py
@@ -19,7 +19,10 @@
         self._state = state
 
     def deletable_allocations(self, cluster: ClusterState) -> list[AllocationKey]:
-        """Allocations of finished jobs, none of whose tasks may still be running."""
+        """Returns the allocations of finished jobs of which no task can still be running.
+
+        Also drops allocations without a record from `orphaned_allocations`.
+        """
         state = self._state
         deletable = []
         for allocation in list(state.orphaned_allocations):
@@ -31,7 +34,7 @@
         return deletable
 
     def is_deletable(self, cluster: ClusterState, allocation: AllocationKey) -> bool:
-        """Whether the allocation's job is finished and none of the allocation's tasks may still be running."""
+        """Whether the allocation's job has ended or was cancelled, and none of its tasks can still be running."""
         state = self._state
         record = cluster.zone_allocations[state.zone].get(allocation)
         if record is None or is_uncancelled_job(cluster, allocation.job):
@@ -45,7 +48,7 @@
         """Returns the entries to write for tasks proved to have ended or to be off their machines.
 
         Ended tasks of an allocation are collected for `delay_s`, so that one write records many of them. They are
-        recorded at once if they complete the allocation, or if a task has to be restarted.
+        recorded at once if they complete the allocation, or if a task has to be restarted, as service replicas have.
 
         Args:
             cluster: The records.
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -80,7 +80,7 @@
         return peer_messages.encode(response)
 
     async def _pong(self) -> Pong:
-        """Returns a pong with all cancellations and partition owners that this controller has received.
+        """Tries to read the state service; returns a pong with all known cancellations, and partition owners on record.
 
         The pong is sent even if this controller can't reach the state service, since a peer may use it as an
         attestation of freshness.
--- a/spurarch/coordination/rate_sharing.py
+++ b/spurarch/coordination/rate_sharing.py
@@ -85,7 +85,11 @@
             self._store.rates.record_peer_throttled()
 
     async def run(self) -> None:
-        """Updates the shares every second, or sooner if a worker can't find its owner, until cancelled."""
+        """Updates the shares and sends this controller's load every second, until cancelled.
+
+        Does so sooner if a heartbeat arrives from a zone that its owner reports as unreachable, as the owner learns of
+        such heartbeats from the load.
+        """
         found = self._owner.unregistered_machine_found
         while True:
             await self._update_shares()
--- a/spurarch/coordination/runtime/stall_detector.py
+++ b/spurarch/coordination/runtime/stall_detector.py
@@ -1,9 +1,9 @@
 """Detects stalls: intervals in which this process didn't run although the clocks did.
 
 A process that resumes after a stall has an outdated view: it hasn't received the heartbeats sent meanwhile, its
-partitions may have another owner, and all timers that expired meanwhile fire at once. So after a stall it draws no
-conclusions from silence, sends no commands and releases no machines until it has an attestation of freshness that was
-requested after the stall.
+partitions possibly have another owner, and all timers that expired meanwhile fire at once. So after a stall it draws no
+conclusions from missing heartbeats, sends no commands and releases no machines until it has an attestation of freshness
+(see `membership.store_reachability`) that was requested after the stall.
 """
 
 from __future__ import annotations
@@ -44,7 +44,10 @@
         return self.resumed_at
 
     def confirmed_since_stall(self, now: float, confirmed_at: float) -> bool:
-        """Whether a confirmation made at `confirmed_at` is no older than the end of the latest stall."""
+        """Whether a confirmation made at `confirmed_at` is no older than the end of the latest stall.
+
+        Calls `check`, so it also records that this process runs at `now`.
+        """
         return confirmed_at >= self.check(now)
 
 
