--- a/spurarch/coordination/membership/membership.py
+++ b/spurarch/coordination/membership/membership.py
@@ -94,7 +94,7 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this process is the leader on record."""
+        """Whether this process is the leader by the copy of the records."""
         leader = self._replica.state.leader
         return (
             leader is not None and leader.node == self.node and leader.process_incarnation == self._process_incarnation
@@ -105,7 +105,7 @@
         """The term in which this process leads, or None if it doesn't lead or its copy of the records isn't complete.
 
         The term is the version of the leader record. The copy is complete if it holds all changes made before the term.
-        It may contain the leader record earlier than that: pages of records are read one after the other, and
+        An incomplete copy can already contain the leader record: pages of records are read one after the other, and
         transactions of this process are applied to the copy at once. A leader that admits by an incomplete copy exceeds
         quotas (docs/incidents/2026-12-02-team-limit.md).
         """
@@ -200,7 +200,7 @@
         return self._gangs_on_record() and member is not None and not member.starts_gangs
 
     def _gangs_on_record(self) -> bool:
-        """Whether there are gangs on record and this process's version supports them."""
+        """Whether records of gangs exist and this process's version supports gangs."""
         return self._version >= records.GANG_VERSION and self._replica.state.gang_count > 0
 
     async def _assign(self) -> None:
--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -30,9 +30,9 @@
     A partition comprises a whole zone. It is assigned to a controller in the same zone if there is one, so that a zone
     partitioned from the others keeps working; otherwise to the live controller with the fewest partitions. Only
     `stable_members`, which have been members long enough, take a partition from a live owner that receives the zone's
-    heartbeats. A member that doesn't receive them doesn't get the partition, and has to hand it over, as long as
-    another member does. `gangs` is whether gangs are on record; if so, members whose version doesn't start a gang's
-    tasks together own no partitions.
+    heartbeats. A member that doesn't receive a zone's heartbeats doesn't get its partition, and has to hand it over, as
+    long as another member receives the heartbeats. `gangs` is whether records of gangs exist; if so, members whose
+    version doesn't start a gang's tasks together own no partitions.
     """
     if gangs:
         members = {node: member for node, member in members.items() if member.starts_gangs}
@@ -108,7 +108,7 @@
         self._first_seen: dict[str, _FirstSeen] = {}
 
     async def assign(self, gangs: bool) -> None:
-        """Writes the records of partitions that need a new owner; `gangs`: whether any gangs are on record."""
+        """Writes the records of partitions that need a new owner; `gangs`: whether records of gangs exist."""
         state = self._replica.state
         stable_members = self._find_stable_members(time.monotonic())
         for zone, node in assign_partitions(
--- a/spurarch/coordination/membership/permissions.py
+++ b/spurarch/coordination/membership/permissions.py
@@ -82,7 +82,7 @@
         return record is not None and record.epoch == partition.epoch
 
     def is_owned_by_peer(self, zone: str) -> bool:
-        """Whether a peer reported that another controller owns the zone's partition in a later epoch than on record."""
+        """Whether a peer reported another owner of the zone's partition, in a later epoch than that of the record."""
         reported = self.reachability.reported_owners.get(zone)
         if reported is None or reported.node == self._membership.node:
             return False
--- a/spurarch/coordination/membership/store_reachability.py
+++ b/spurarch/coordination/membership/store_reachability.py
@@ -1,7 +1,7 @@
 """Whether this controller may keep acting while it can't reach the state service.
 
 This controller can't distinguish an outage of the state service from a partition or refusal that affects only itself.
-Running tasks should survive both, but another controller may confirm a cancellation meanwhile, and the tasks of the
+Running tasks should survive both, but another controller can confirm a cancellation meanwhile, and the tasks of the
 cancelled job have to be off their machines within `cancel_s`. So a partition owner answers heartbeats only while its
 newest *attestation of freshness* is recent enough. An attestation of time T proves that this controller has received
 every cancellation that any controller confirmed before T. The time of the newest attestation, the *freshness bound*, is
@@ -58,7 +58,7 @@
     `peers` are the nodes of all other controllers. `cancel_s` and `lease_s` are settings of the deployment.
 
     Attributes:
-        freshness_limit_s: Age of the freshness bound from which on heartbeats may not be answered.
+        freshness_limit_s: Age of the freshness bound from which on heartbeats must not be answered.
         reported_cancellations: By job, when a peer first reported its cancellation. Entries are dropped once the copy
             of the records contains the cancellation.
         reported_owners: By zone, the reported owner with the highest epoch.
@@ -101,7 +101,7 @@
             copied_at = sent_at - pong.copy_age_s * MAX_CLOCK_RATE_RATIO
             self._peer_copy_complete_at = max(self._peer_copy_complete_at, copied_at)
         elif received_at - pong.uptime_s / MAX_CLOCK_RATE_RATIO > bound_before:
-            return  # an earlier process of the peer may have confirmed a cancellation that no other controller received
+            return  # an earlier process of the peer can have confirmed a cancellation that no other controller received
         if peer in self._attested_at:
             self._attested_at[peer] = max(self._attested_at[peer], sent_at)
 
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -31,7 +31,7 @@
 def direct_connections(sockets: int) -> int:
     """Returns the maximum number of open connections to workers for a number of sockets.
 
-    All machines of a fleet may need commands in the same second. The other sockets remain for the workers' heartbeats,
+    All machines of a fleet can need commands in the same second. The other sockets remain for the workers' heartbeats,
     whose responses carry the same commands.
     """
     return max(MIN_WORKER_CONNECTIONS, min(MAX_WORKER_CONNECTIONS, sockets // SOCKETS_PER_WORKER_CONNECTION))
@@ -88,7 +88,7 @@
     async def _send_to_machine(self, owned: OwnedPartition, machine: Machine) -> None:
         """Plans and sends the machine's commands once a connection is free.
 
-        They are not planned earlier, since the wait for a connection may be long when many tasks start at once.
+        They are not planned earlier, since the wait for a connection can be long when many tasks start at once.
         """
         async with self._connection_slots:
             self._awaiting_connection.discard(machine.name)
--- a/spurarch/coordination/partition/commands.py
+++ b/spurarch/coordination/partition/commands.py
@@ -95,7 +95,7 @@
     def stops_for_cancelled(self, heartbeat: wire.Heartbeat) -> list[wire.Command]:
         """Returns stops for the listed tasks whose jobs are known to be cancelled.
 
-        This needs no allocation records, as a new owner may be unable to read them: the partition may change owners
+        This needs no allocation records, as a new owner can be unable to read them: the partition can change owners
         just before an outage of the state service that is longer than `cancel_s`.
         """
         return [
--- a/spurarch/coordination/partition/direct_commands.py
+++ b/spurarch/coordination/partition/direct_commands.py
@@ -24,7 +24,7 @@
     def next_request(self, machine: Machine) -> wire.DirectCommands | None:
         """Returns a request with the commands to send now and counts it as in flight; None if there is nothing to send.
 
-        Before the partition's records are read, and while earlier commands may still take effect, it holds only stops
+        Before the partition's records are read, and while earlier commands can still take effect, it holds only stops
         without a grace period.
         """
         if machine.state is not MachineState.ACTIVE or machine.commands_in_flight or not machine.addr:
@@ -82,7 +82,7 @@
     def on_failure(self, machine: Machine, sent: wire.DirectCommands, may_have_arrived: bool) -> None:
         """Handles a request that got no response.
 
-        Commands that may have been sent may still arrive minutes later. The machine therefore gets a higher fencing
+        Commands that were possibly sent can still arrive minutes later. The machine therefore gets a higher fencing
         token; once the worker has acknowledged it, it rejects those commands. Commands to an earlier incarnation need
         no new token, since the worker rejects them in any case.
 
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -29,7 +29,7 @@
     """Progress of the newest attempt of a gang."""
 
     WAITING = "waiting"  # no member is assigned
-    ASSIGNING = "assigning"  # some members are on record as assigned; no start command of this attempt was sent
+    ASSIGNING = "assigning"  # the records assign some members; no start command of this attempt was sent
     STARTING = "starting"  # all members are assigned; they are started and fetch their image
     GATHERING = "gathering"  # a member waits for the other members
     RUNNING = "running"
@@ -68,7 +68,7 @@
     Attributes:
         size: Number of members.
         checkpoint_grace_s: Seconds that members get to checkpoint when they are stopped; 0 if they never checkpoint.
-        attempt: The highest attempt number on record.
+        attempt: The highest attempt number that a record of the gang has held.
         members: The assigned members, by task index.
     """
 
@@ -139,7 +139,7 @@
 
     @property
     def startable(self) -> bool:
-        """Whether members may be started: all of them are on record under one number."""
+        """Whether members may be started: the records assign all of them under one number."""
         return self.state in _STARTABLE and len(self.members) == self.size
 
     def next_attempt(self) -> int | None:
@@ -170,7 +170,7 @@
         if self.state is GangState.STOPPING:
             return unstopped
         if self.state is GangState.ENDED:
-            # Members that do not run may never have been started, so their completion may never be reported.
+            # Members that do not run were possibly never started; their completion is then never reported.
             return [member for member in unstopped if member.phase < AttemptPhase.RUNNING]
         return []
 
--- a/spurarch/coordination/partition/machine.py
+++ b/spurarch/coordination/partition/machine.py
@@ -29,7 +29,7 @@
     """Progress of an attempt on its machine."""
 
     ASSIGNED = 0  # by the allocation record; this process has neither sent a start command nor requested a stop
-    STARTING = 1  # a start was sent, or a stop was requested and an earlier owner or process may have sent a start
+    STARTING = 1  # a start was sent, or a stop was requested and an earlier owner or process can have sent a start
     FETCHING = 2
     GATHERING = 3  # a gang member that waits for the other members of its attempt
     RUNNING = 4
@@ -78,7 +78,7 @@
         assigned_at: When this owner first read the assignment, not when the assignment was decided.
         stop_acknowledged_at: When the worker's response to direct commands confirmed a stop command.
         running_at: When its phase last became RUNNING, by a message of the worker.
-        start_sent_seq: Sequence number of the newest worker message that may have been sent before the start command
+        start_sent_seq: Sequence number of the newest worker message that was possibly sent before the start command
             arrived. Only later messages that do not list the task prove that it is not on the machine.
         terminated_at: When its exit or absence was proved.
         job_cancelled_at: When its job was cancelled; None if no cancellation has been observed.
@@ -118,7 +118,7 @@
 class MachineState(enum.Enum):
     """State of a machine, as established by this owner."""
 
-    UNCONFIRMED = "unconfirmed"  # on record or sending heartbeats, but no fencing token of this owner is acknowledged
+    UNCONFIRMED = "unconfirmed"  # recorded or sending heartbeats, but has acknowledged no fencing token of this owner
     ACTIVE = "active"
     LEASE_EXPIRED = "lease-expired"  # no heartbeat for long enough that its worker's lease must have expired
     RELEASED = "released"  # the cloud confirmed its release
@@ -152,7 +152,7 @@
             commands doesn't set it.
         token_acknowledged_at: When it last acknowledged a higher counter, which only this owner can have sent to it.
         responses_lost: Its heartbeats arrive, but it does not acknowledge the token in the heartbeat responses.
-        fence_below_token: Direct commands with a lower fencing token may still arrive and take effect until the worker
+        fence_below_token: Direct commands with a lower fencing token can still arrive and take effect until the worker
             has acknowledged a token at least as high.
         highest_token_seen: The highest fencing token that its messages have carried.
         commands_in_flight: Requests with direct commands that have no response yet.
@@ -163,10 +163,10 @@
             forget the exit.
         cached_images: Images of tasks that have run on it.
         unconfirmed_cancellation_at: Earliest cancellation of a task that was on it when its lease expired; a hung
-            machine may still run the task.
+            machine possibly still runs the task.
         task_failures: Number of task failures attributed to it.
         quarantined_until: Until then it is assigned no tasks because tasks failed on it.
-        backoff_until: Until then it is assigned no tasks because it refused one; too short to be put on record.
+        backoff_until: Until then it is assigned no tasks because it refused one; too short to be recorded.
         releasing: Its release is in progress.
         draining: Consolidation empties it: its tasks end or are migrated, and it is assigned no new ones.
         release_after: When its release may be tried again.
@@ -236,7 +236,7 @@
                 self.responses_lost = False
 
     def earliest_cancellation_at(self) -> float | None:
-        """Returns when the earliest cancelled task that may still run here was cancelled; None without such a task."""
+        """Returns when the earliest cancelled task that can still run here was cancelled; None without such a task."""
         times = [
             attempt.job_cancelled_at
             for attempt in self.attempts.values()
--- a/spurarch/coordination/partition/owned_partition.py
+++ b/spurarch/coordination/partition/owned_partition.py
@@ -73,7 +73,7 @@
             until they are, the partition's state is used only to stop cancelled tasks.
         mostly_silent: Whether most machines of the partition are silent, by `scaling.silent_machines.is_mostly_silent`,
             which has a threshold of its own.
-        mostly_silent_since: Since when most machines are silent; None if they aren't.
+        mostly_silent_since: Since when `mostly_silent` has been seen as set; None while most machines aren't silent.
     """
 
     def __init__(self, partition: Partition, tuning: Tuning, silent_s: float) -> None:
--- a/spurarch/coordination/partition/record_feed.py
+++ b/spurarch/coordination/partition/record_feed.py
@@ -52,7 +52,7 @@
         partition, state = owned.partition, self._replica.state
         if not await self._replica.sync():
             if self._replica.loaded and not owned.provisional:
-                # Records read before the claim may be outdated; they are used only to stop cancelled tasks.
+                # Records read before the claim are possibly outdated; they are used only to stop cancelled tasks.
                 partition.apply_records(state, list(state.entries), time.monotonic())
                 owned.provisional = True
             return False
--- a/spurarch/coordination/partition/record_follower.py
+++ b/spurarch/coordination/partition/record_follower.py
@@ -131,7 +131,7 @@
             machine = state.add_machine(entry.machine, "", False, "", schedulable=False)
         attempt = TaskAttempt(allocation, entry.index, entry.attempt, entry.machine, entry.incarnation, state.now)
         state.add_attempt(attempt, machine)
-        # The worker incarnation that it was assigned to may have ended, and with it all of its tasks.
+        # The worker incarnation that it was assigned to has possibly ended, and with it all of its tasks.
         incarnation_ended = attempt.incarnation < machine.incarnation or (
             machine.state is MachineState.LEASE_EXPIRED and attempt.incarnation <= machine.expired_incarnation
         )
@@ -143,7 +143,7 @@
     def _remove_attempt(self, attempt: TaskAttempt) -> None:
         """Removes an attempt.
 
-        If it exited, its worker may stop reporting it; if the task completed, only once the archive holds its end.
+        If it exited, the worker is told to forget it; a completed task only once the archive, if any, holds its end.
         """
         self._state.remove_attempt(attempt)
         machine = self._state.machines.get(attempt.machine)
@@ -155,7 +155,7 @@
     def _follow_split(self, cluster: ClusterState, attempt: TaskAttempt) -> bool:
         """Moves an attempt whose entry is now in another record of the same job, as after a split of its record.
 
-        The phase is kept: without it, a task whose end isn't on record yet would be started again.
+        The phase is kept: without it, a task whose end isn't recorded yet would be started again.
 
         Returns:
             Whether the attempt was moved.
--- a/spurarch/coordination/partition/record_writer.py
+++ b/spurarch/coordination/partition/record_writer.py
@@ -173,7 +173,7 @@
     def _writes_of(self, owned: OwnedPartition, change: _Change) -> list[Write]:
         """Returns the writes that make the change to the current records, or none if it no longer applies.
 
-        Another controller may have changed the allocation since the change was decided. Writing the allocation as it
+        Another controller can have changed the allocation since the change was decided. Writing the allocation as it
         was then would restore tasks that the leader has moved since.
         """
         if change.allocation is None:
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -72,16 +72,16 @@
         self.capacity_added_at = now  # when a machine last became active
         self.unreachable = False  # no controller receives heartbeats from the zone
         self.records_read = False  # the partition's records were read after it was claimed
-        self.scheduling_triggers = 0  # counts activated machines and ended attempts: capacity may be free
+        self.scheduling_triggers = 0  # counts activated machines and ended attempts, which can free capacity
         self.machines: dict[str, Machine] = {}
         self.attempts: dict[TaskKey, TaskAttempt] = {}
         self.attempts_by_allocation: dict[AllocationKey, dict[int, TaskAttempt]] = {}
         self.allocations_by_job: dict[str, set[AllocationKey]] = defaultdict(set)
         self.unassigned: dict[AllocationKey, list[TaskEntry]] = {}
         self.gangs = Gangs()
-        self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not on record yet
-        self.allocations_to_restart: set[AllocationKey] = set()  # those with a terminal attempt of an incomplete task
-        self.orphaned_allocations: set[AllocationKey] = set()  # those whose job may have ended or been cancelled
+        self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not recorded yet
+        self.allocations_to_restart: set[AllocationKey] = set()  # with a terminal attempt of an incomplete task
+        self.orphaned_allocations: set[AllocationKey] = set()  # of jobs whose record is missing or cancelled
         self.machines_needing_commands: dict[str, None] = {}
         self.machines_with_cancelled_tasks: dict[str, None] = {}
         self.released_machines: dict[str, None] = {}
@@ -105,7 +105,7 @@
         return machine
 
     def add_released_machine(self, name: str) -> None:
-        """Keeps the name of a released machine, since late heartbeats and records of it may still arrive."""
+        """Keeps the name of a released machine, since late heartbeats and records of it can still arrive."""
         self.released_machines[name] = None
         if len(self.released_machines) > MAX_RELEASED_MACHINES:
             del self.released_machines[next(iter(self.released_machines))]
--- a/spurarch/coordination/partition/statuses.py
+++ b/spurarch/coordination/partition/statuses.py
@@ -1,6 +1,6 @@
 """Applies the status that a worker reports of its machine and tasks.
 
-Workers report it in heartbeats and in responses to direct commands, which may be duplicated, delayed and reordered.
+Workers report it in heartbeats and in responses to direct commands, which can be duplicated, delayed and reordered.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
                 self._failures.record_exit(machine, attempt, now)
 
     def _log_unknown_state(self, task_state: str) -> None:
-        """Logs an unknown task state, which is otherwise ignored: workers may be newer than controllers."""
+        """Logs an unknown task state, which is otherwise ignored: workers can be newer than controllers."""
         if task_state not in self._logged_states and len(self._logged_states) < MAX_LOGGED_STATES:
             self._logged_states.add(task_state)
             log.warning("unknown task state reported state=%r", task_state)
--- a/spurarch/coordination/partition/stopping.py
+++ b/spurarch/coordination/partition/stopping.py
@@ -25,7 +25,7 @@
         attempt.stop_requested, attempt.grace_s = True, grace_s
         self._state.machines_needing_commands[attempt.machine] = None
         if attempt.phase is AttemptPhase.ASSIGNED:
-            # An earlier owner or process may have sent a start, so only a heartbeat can prove that the task is absent.
+            # An earlier owner or process can have sent a start, so only a heartbeat can prove that the task is absent.
             self._state.transition(attempt, AttemptPhase.STARTING)
         self._state.gangs.mark_changed(attempt.allocation.job)
 
@@ -37,7 +37,7 @@
             if self._receives_responses(attempt.machine):
                 self._request_one(attempt, grace_s)
             else:
-                # The stop may arrive too late for a common checkpoint, so the others need not wait for this member.
+                # The stop can arrive too late for a common checkpoint, so the other members need not wait for this one.
                 self._request_one(attempt, 0.0)
 
     def _receives_responses(self, name: str) -> bool:
--- a/spurarch/coordination/peers.py
+++ b/spurarch/coordination/peers.py
@@ -1,6 +1,6 @@
 """Messages between controllers: notifications to the peers, and responses to their messages.
 
-The loss of a message does no harm: its content is on record as well, or is sent again.
+The loss of a message does no harm: its content is also in the state service's records, or is sent again.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     async def notify_cancelled(self, job_id: str) -> None:
         """Sends a cancellation to the peers, before it is confirmed to the user.
 
-        The peers may be unable to read it from the state service: they may be partitioned from the service, or an
-        outage of the service may follow.
+        The peers can't always read the cancellation from the state service: they can be partitioned from the service,
+        or an outage of the service can follow.
         """
         await broadcast(self._clients.values(), peer_messages.encode(peer_messages.JobsCancelled([job_id])))
 
@@ -82,7 +82,7 @@
     async def _pong(self) -> Pong:
         """Tries to read the state service; returns a pong with all known cancellations, and partition owners on record.
 
-        The pong is sent even if this controller can't reach the state service, since a peer may use it as an
+        The pong is sent even if this controller can't reach the state service, since a peer can use it as an
         attestation of freshness.
         """
         replica = self._replica
--- a/spurarch/coordination/runtime/event_loop_lag.py
+++ b/spurarch/coordination/runtime/event_loop_lag.py
@@ -1,6 +1,6 @@
 """How late the event loop runs its timers, and what is postponed meanwhile.
 
-If a controller has only a small share of a processor, all of its timers may fire late. Work that others wait for is
+If a controller has only a small share of a processor, all of its timers can fire late. Work that others wait for is
 never postponed: lease renewals, responses to workers and users, cancellations and starts. Decision rounds wait longer
 to handle more changes at once, and work that only improves a placement is postponed for a bounded time.
 """
