--- a/spurarch/coordination/membership/partition_assignment.py
+++ b/spurarch/coordination/membership/partition_assignment.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-STABLE_AFTER_S = 4.0  # as a member without a restart, before taking a partition from a live owner
+STABLE_AFTER_S = 4.0  # as a member without a restart, as seen by the assigner, before taking one from a live owner
 ASSIGNMENT_TIMEOUT_S = 2.0
 
 
@@ -30,9 +30,9 @@
     A partition comprises a whole zone. It is assigned to a controller in the same zone if there is one, so that a zone
     partitioned from the others keeps working; otherwise to the live controller with the fewest partitions. Only
     `stable_members`, which have been members long enough, take a partition from a live owner that receives the zone's
-    heartbeats. A member that doesn't receive them doesn't get the partition, and has to hand it over, as long as
-    another member does. `gangs` is whether gangs are on record; if so, members whose version doesn't start a gang's
-    tasks together own no partitions.
+    heartbeats. A member that doesn't receive a zone's heartbeats doesn't get its partition, and has to hand it over, as
+    long as another member receives the heartbeats. `gangs` is whether records of gangs exist; if so, members whose
+    version doesn't start a gang's tasks together own no partitions.
     """
     if gangs:
         members = {node: member for node, member in members.items() if member.starts_gangs}
@@ -42,7 +42,11 @@
 
 
 class _Assignment:
-    """One pass over the zones. Counts of owned partitions include the changes decided so far."""
+    """One pass over the zones.
+
+    Counts of owned partitions include the changes decided so far, except that an owner that has to hand over a zone
+    from which it receives no heartbeats keeps its count.
+    """
 
     def __init__(
         self,
@@ -63,7 +67,10 @@
         return partition.node if partition is not None and partition.node in self._members else None
 
     def new_owner(self, zone: str) -> str | None:
-        """Returns the member that should take over the zone's partition, and counts it; None if the owner stays."""
+        """Returns the member that should take over the zone's partition, and counts the partition for that member.
+
+        Returns None if the owner stays, or if there is no member to choose.
+        """
         owner = self._living_owner(zone)
         receiving = [member for member in self._members.values() if zone not in member.isolated_zones]
         if not receiving and owner is not None:
@@ -101,7 +108,7 @@
         self._first_seen: dict[str, _FirstSeen] = {}
 
     async def assign(self, gangs: bool) -> None:
-        """Writes the records of partitions that need a new owner; `gangs`: whether any gangs are on record."""
+        """Writes the records of partitions that need a new owner; `gangs`: whether records of gangs exist."""
         state = self._replica.state
         stable_members = self._find_stable_members(time.monotonic())
         for zone, node in assign_partitions(
--- a/spurarch/coordination/partition/command_sender.py
+++ b/spurarch/coordination/partition/command_sender.py
@@ -31,7 +31,7 @@
 def direct_connections(sockets: int) -> int:
     """Returns the maximum number of open connections to workers for a number of sockets.
 
-    All machines of a fleet may need commands in the same second. The other sockets remain for the workers' heartbeats,
+    All machines of a fleet can need commands in the same second. The other sockets remain for the workers' heartbeats,
     whose responses carry the same commands.
     """
     return max(MIN_WORKER_CONNECTIONS, min(MAX_WORKER_CONNECTIONS, sockets // SOCKETS_PER_WORKER_CONNECTION))
@@ -50,7 +50,11 @@
         self._awaiting_connection: set[str] = set()  # names of machines whose commands wait for a connection
 
     async def send(self, owned: OwnedPartition) -> None:
-        """Sends the commands that machines need by the newest records; heartbeat responses repeat undelivered ones."""
+        """Starts sending the commands that machines need; heartbeat responses repeat commands that don't arrive.
+
+        Applies pending record changes to the partition first. Returns before the commands are sent, which background
+        tasks do.
+        """
         partition = owned.partition
         if partition.state.records_read:
             self._feed.update(owned)
@@ -68,7 +72,8 @@
                 or name in self._awaiting_connection
                 or (silent and name not in partition.machines_with_cancelled_tasks)
             ):
-                continue  # a silent machine would block a connection until the timeout
+                # Commands to a silent machine would use a connection until the timeout, so it gets only urgent ones.
+                continue
             machine.next_command_at = now + (SILENT_REQUEST_INTERVAL_S if silent else MIN_REQUEST_INTERVAL_S)
             self._awaiting_connection.add(name)
             await curio.spawn(self._send_to_machine, owned, machine, daemon=True)
@@ -83,7 +88,7 @@
     async def _send_to_machine(self, owned: OwnedPartition, machine: Machine) -> None:
         """Plans and sends the machine's commands once a connection is free.
 
-        They are not planned earlier, since the wait for a connection may be long when many tasks start at once.
+        They are not planned earlier, since the wait for a connection can be long when many tasks start at once.
         """
         async with self._connection_slots:
             self._awaiting_connection.discard(machine.name)
--- a/spurarch/coordination/partition/gang.py
+++ b/spurarch/coordination/partition/gang.py
@@ -1,12 +1,12 @@
 """Gangs: jobs whose tasks run at the same time or not at all. No I/O and no clock.
 
 All members of a gang are in one partition. They share the number of their attempt, by which workers find each other, so
-a number is never used for two sets of machines. The partition owner therefore follows three rules:
+a number is never used for two sets of machines. The partition owner therefore relies on three rules:
 
 - It sends start commands only when the records assign *every* member under the same number. The next owner of the
   partition reads the same records, and repeats either all of these starts or none.
-- The attempt has failed once a member has left its machine without completing: the owner stops the other members, and
-  assigns the next number only when the records show that no member is assigned any more.
+- The attempt has failed once a member has left its machine without completing, or has to be stopped: the owner stops
+  the other members, and assigns the next number only when the records show that no member is assigned any more.
 - Members complete together, so one that is reported or recorded as completed proves that all have.
 """
 
@@ -29,7 +29,7 @@
     """Progress of the newest attempt of a gang."""
 
     WAITING = "waiting"  # no member is assigned
-    ASSIGNING = "assigning"  # some members are on record as assigned; no start command of this attempt was sent
+    ASSIGNING = "assigning"  # the records assign some members; no start command of this attempt was sent
     STARTING = "starting"  # all members are assigned; they are started and fetch their image
     GATHERING = "gathering"  # a member waits for the other members
     RUNNING = "running"
@@ -68,7 +68,7 @@
     Attributes:
         size: Number of members.
         checkpoint_grace_s: Seconds that members get to checkpoint when they are stopped; 0 if they never checkpoint.
-        attempt: The highest attempt number on record.
+        attempt: The highest attempt number that a record of the gang has held.
         members: The assigned members, by task index.
     """
 
@@ -96,7 +96,7 @@
         if state is self.state:
             return
         if state not in _NEXT_STATES[self.state]:
-            return  # an older message of a member; a gang never returns to an earlier state of the same attempt
+            return  # derived from a member's older message; an attempt that has started never returns to earlier states
         log.debug("gang state changed job=%s attempt=%d state=%s", self.job, self.attempt, state.value)
         self.state = state
 
@@ -139,7 +139,7 @@
 
     @property
     def startable(self) -> bool:
-        """Whether members may be started: all of them are on record under one number."""
+        """Whether members may be started: the records assign all of them under one number."""
         return self.state in _STARTABLE and len(self.members) == self.size
 
     def next_attempt(self) -> int | None:
@@ -170,12 +170,16 @@
         if self.state is GangState.STOPPING:
             return unstopped
         if self.state is GangState.ENDED:
-            # Members that do not run may never have been started, so their completion may never be reported.
+            # Members that do not run were possibly never started; their completion is then never reported.
             return [member for member in unstopped if member.phase < AttemptPhase.RUNNING]
         return []
 
     def grace_s(self) -> float:
-        """Returns the seconds that members get to checkpoint; 0 once one has left, as they only checkpoint together."""
+        """Returns the seconds that further members to be stopped get to checkpoint.
+
+        That is the shortest grace period of the members whose stop was requested; 0 if there is none, or once a member
+        has left, as members only checkpoint together.
+        """
         if any(member.phase >= AttemptPhase.EXITED for member in self.members.values()):
             return 0.0
         requested = [member.grace_s for member in self.members.values() if member.stop_requested]
--- a/spurarch/coordination/partition/record_feed.py
+++ b/spurarch/coordination/partition/record_feed.py
@@ -52,7 +52,7 @@
         partition, state = owned.partition, self._replica.state
         if not await self._replica.sync():
             if self._replica.loaded and not owned.provisional:
-                # Records read before the claim may be outdated; they are used only to stop cancelled tasks.
+                # Records read before the claim are possibly outdated; they are used only to stop cancelled tasks.
                 partition.apply_records(state, list(state.entries), time.monotonic())
                 owned.provisional = True
             return False
@@ -63,6 +63,6 @@
         return True
 
     def stop_jobs_reported_cancelled(self, owned: OwnedPartition) -> None:
-        """Stops tasks of jobs that peers report as cancelled while the state service can't be reached."""
+        """Requests stops of tasks whose job was cancelled according to peers and possibly not yet by the records."""
         for job_id in self._reachability.reported_cancellations:
             owned.partition.stop_job(job_id, time.monotonic())
--- a/spurarch/coordination/partition/state.py
+++ b/spurarch/coordination/partition/state.py
@@ -67,20 +67,21 @@
         self.zone, self.epoch = zone, epoch
         self.lowest_token = epoch << TOKEN_BITS  # the lowest fencing token of this epoch
         self.highest_token_counter = 0  # the highest counter that was issued to any machine
+        # `claimed_at` is when this state was created, which is soon after the partition was claimed.
         self.claimed_at = self.now = now
         self.capacity_added_at = now  # when a machine last became active
         self.unreachable = False  # no controller receives heartbeats from the zone
         self.records_read = False  # the partition's records were read after it was claimed
-        self.scheduling_triggers = 0  # counts activated machines and ended attempts: capacity may be free
+        self.scheduling_triggers = 0  # counts activated machines and ended attempts, which can free capacity
         self.machines: dict[str, Machine] = {}
         self.attempts: dict[TaskKey, TaskAttempt] = {}
         self.attempts_by_allocation: dict[AllocationKey, dict[int, TaskAttempt]] = {}
         self.allocations_by_job: dict[str, set[AllocationKey]] = defaultdict(set)
         self.unassigned: dict[AllocationKey, list[TaskEntry]] = {}
         self.gangs = Gangs()
-        self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not on record yet
-        self.allocations_to_restart: set[AllocationKey] = set()  # those with a terminal attempt of an incomplete task
-        self.orphaned_allocations: set[AllocationKey] = set()  # those whose job may have ended or been cancelled
+        self.terminal_attempts: dict[AllocationKey, dict[int, TaskAttempt]] = defaultdict(dict)  # not recorded yet
+        self.allocations_to_restart: set[AllocationKey] = set()  # with a terminal attempt of an incomplete task
+        self.orphaned_allocations: set[AllocationKey] = set()  # of jobs whose record is missing or cancelled
         self.machines_needing_commands: dict[str, None] = {}
         self.machines_with_cancelled_tasks: dict[str, None] = {}
         self.released_machines: dict[str, None] = {}
@@ -92,7 +93,7 @@
         return self.lowest_token + machine.token_counter
 
     def next_token_counter(self) -> int:
-        """Returns an unused counter; a heartbeat that carries it proves that the worker received it from this owner."""
+        """Issues and returns a new counter; a message that carries it proves that the worker got it from this owner."""
         self.highest_token_counter += 1
         return self.highest_token_counter
 
@@ -104,7 +105,7 @@
         return machine
 
     def add_released_machine(self, name: str) -> None:
-        """Keeps the name of a released machine, since late heartbeats and records of it may still arrive."""
+        """Keeps the name of a released machine, since late heartbeats and records of it can still arrive."""
         self.released_machines[name] = None
         if len(self.released_machines) > MAX_RELEASED_MACHINES:
             del self.released_machines[next(iter(self.released_machines))]
@@ -112,7 +113,11 @@
     # Attempts
 
     def transition(self, attempt: TaskAttempt, phase: AttemptPhase, exit_reason: str | None = None) -> bool:
-        """Changes an attempt's phase, queues a terminal attempt for recording; returns False for an invalid change."""
+        """Changes an attempt's phase; returns False for an invalid change.
+
+        A terminal attempt is queued for recording and counts as a scheduling trigger. The attempt's gang is marked as
+        changed.
+        """
         if not attempt.transition(phase, exit_reason):
             return False
         if phase in (AttemptPhase.EXITED, AttemptPhase.GONE):
@@ -179,7 +184,7 @@
         return attempts
 
     def remove_allocation(self, allocation: AllocationKey) -> None:
-        """Removes an allocation whose record was deleted."""
+        """Removes an allocation whose record was deleted, and the job's gang if it was the job's last one here."""
         self.attempts_by_allocation.pop(allocation, None)
         self.allocations_by_job[allocation.job].discard(allocation)
         if not self.allocations_by_job[allocation.job]:
