--- a/spurarch/coordination/admission/array_planner.py
+++ b/spurarch/coordination/admission/array_planner.py
@@ -20,7 +20,9 @@
 
     def __init__(self, state: PlanningState, preemption: PreemptionPlanner) -> None:
         self._state, self._preemption = state, preemption
-        self._borrowed_cpus_by_zone: dict[int, float] | None = None  # less those of queued tasks; computed on first use
+        # The result of `borrowed_cpus_by_zone`, less the CPUs of queued tasks and of tasks that this round assigned to
+        # borrowed CPUs; None until first used.
+        self._borrowed_cpus_by_zone: dict[int, float] | None = None
 
     def assign(self, job: JobView, only_zone: int | None, count: int) -> ZoneAssignment:
         """Assigns up to `count` tasks, only to `only_zone` if it is given.
@@ -79,8 +81,8 @@
     def _assign_ahead_of_time(self, job: JobView, only_zone: int | None, count: int, assignment: ZoneAssignment) -> int:
         """Assigns tasks to zones that are expected to free capacity soon; returns how many were assigned.
 
-        Zones with more CPUs on machines that have the image come first, then those that free more CPUs beyond those
-        of their queued tasks.
+        Zones with more CPUs on machines that have the image come first, then zones that free more CPUs beyond the CPUs
+        of their queued tasks. If no zone frees enough, one task of a starving job that has none admitted is assigned.
         """
         state, cpus = self._state, job.requirements.cpus
         if cpus <= 0:
@@ -156,7 +158,12 @@
 
 
 def borrowed_cpus_by_zone(view: FleetView) -> dict[int, float]:
-    """Returns, by zone, the CPUs that teams use beyond their guaranteed quota; teams within theirs may reclaim them."""
+    """Returns an estimate, by zone, of the CPUs that teams use beyond their guaranteed quota.
+
+    Jobs within the guarantee of their team may reclaim these CPUs. The CPUs that a team borrows are distributed over
+    the zones in proportion to the CPUs of its assigned tasks. The estimate includes CPUs of services, of gangs and of
+    the reclaiming team, whose tasks the partition owner does not preempt.
+    """
     borrowed: dict[int, float] = defaultdict(float)
     for team, cpus_by_zone in view.running_cpus.items():
         team_borrowed = view.borrowed_cpus(team)
--- a/spurarch/coordination/admission/job_finalizer.py
+++ b/spurarch/coordination/admission/job_finalizer.py
@@ -33,7 +33,7 @@
         self._max_guards = limits.transaction_guards - self._max_changes - reserved
 
     def begin_term(self) -> None:
-        """Marks all jobs for a check, at the beginning of a term."""
+        """Marks all jobs for a check, at the beginning of a term (see `Membership.confirmed_term`)."""
         self._changed_keys.clear()
         self._changed_jobs = dict.fromkeys(self._replica.state.jobs)
 
--- a/spurarch/coordination/admission/ledger_audit.py
+++ b/spurarch/coordination/admission/ledger_audit.py
@@ -1,5 +1,7 @@
 """Compares the quota ledger with sums over the records: completely when a term begins, in small steps after that.
 
+A term is one controller's time as leader (see `Membership.confirmed_term`).
+
 The ledger is updated incrementally. A missed update would go unnoticed, and the team would exceed its quota by that
 amount (docs/incidents/2026-12-02-team-limit.md). A difference is therefore logged with both sums and corrected, and
 admission is suspended for the team until a complete pass finds no difference.
--- a/spurarch/coordination/admission/negative_cache.py
+++ b/spurarch/coordination/admission/negative_cache.py
@@ -6,7 +6,10 @@
 
 
 class NegativeCache:
-    """Requirements for which no machine was found, by zone; the zone None means all zones."""
+    """Requirements for which no machine was found, by zone; the zone None means all zones.
+
+    Priorities are not compared.
+    """
 
     __slots__ = ("_failed_by_zone",)
 
--- a/spurarch/coordination/admission/planner.py
+++ b/spurarch/coordination/admission/planner.py
@@ -4,9 +4,9 @@
 scHeduling` (section IV-A): the leader distributes jobs over the partitions, and each partition owner places its tasks
 on machines.
 
-Admission enforces the quotas: a task is charged to its team from its admission until its end is recorded. It also
-enforces each job's allowed zones and limit of tasks per zone, and assigns a gang to one zone. Partition owners need no
-view of the whole fleet for these rules.
+Admission enforces the quotas: a task is charged to its team from its admission until its end, or its return to the
+leader, is recorded. Admission also enforces each job's allowed zones and limit of tasks per zone, and assigns a gang to
+one zone. Partition owners need no view of the whole fleet for these rules.
 """
 
 from __future__ import annotations
@@ -58,8 +58,9 @@
     def run(self, first_job: str | None, budget_spent: Callable[[], bool], max_grants: int) -> AdmissionPlan:
         """Plans the jobs that have tasks to admit, from `first_job` on, until the time budget is spent.
 
-        The plan has about `max_grants` grants at most, as many as can be committed soon. The remaining jobs are planned
-        without grants, so that machines are requested for all waiting tasks, not only for those admitted now.
+        The plan has `max_grants` grants at most, as many as can be committed soon; only those of the first granted job
+        can exceed that. A job whose grants would exceed it is planned without grants, so that machines are requested
+        for all waiting tasks, not only for the tasks that are admitted now.
         """
         plan = AdmissionPlan()
         try:
@@ -76,8 +77,9 @@
     def _book_unassigned(self, plan: AdmissionPlan) -> None:
         """Books capacity for admitted tasks that wait for a machine, so that it is not assigned a second time.
 
-        Tasks that don't fit are recorded as a shortage, except those started so often that the fault is more likely in
-        the task than in the machines.
+        Tasks that don't fit on ready machines are recorded as a shortage, except tasks started so often that the fault
+        is more likely in the task than in the machines. They are then booked on booting machines; the CPUs of tasks
+        that don't fit there either are added to `queued_cpus` of their zone.
         """
         state = self._state
         for allocation, job, unassigned, often_tried in self._view.allocations_with_unassigned_tasks():
@@ -103,8 +105,7 @@
     def _job_order(self, first_job: str | None) -> list[str]:
         """Returns the jobs to plan, ordered by rank.
 
-        If `first_job` is among them, the order is rotated to start there, except that jobs of the highest priority stay
-        in front.
+        If `first_job` is among them, the order is rotated to start there, except that jobs of priority 0 stay in front.
         """
         order = sorted(self._jobs_to_admit(), key=self._rank)
         if first_job not in order:
@@ -130,7 +131,7 @@
         return self._view.ranking.rank(job, job.is_starving(self._state.now, self._state.longest_wait_s))
 
     def _admit(self, job: JobView, plan: AdmissionPlan, max_grants: int) -> None:
-        """Plans one job: assigns its tasks to zones, records its shortage, and adds its grants to the plan."""
+        """Plans one job: assigns its tasks to zones, records its shortage, and adds grants within `max_grants`."""
         allowed = min(self._tasks_allowed(job), job.to_admit)
         if allowed <= 0:
             return
@@ -159,8 +160,8 @@
     def _zone_for_single_zone_job(self, job: JobView) -> int | None:
         """Returns the zone that already has tasks of the job, or else the one with the most free task slots for it.
 
-        Without free slots, returns the zone that frees the most CPUs beyond those of its queued tasks; None if no zone
-        has a suitable machine.
+        Without free slots, returns the zone that is expected to free the most CPUs beyond the CPUs of its queued tasks;
+        None if no zone has a machine that would fit a task when empty.
         """
         used_zones = [zone for zone, count in job.tasks_by_zone.items() if count > 0]
         if used_zones:
@@ -184,7 +185,7 @@
         return ledger.tasks_allowed(job.team, job.charge_per_task, job.tasks, planned)
 
     def _charge(self, job: JobView, tasks: int) -> None:
-        """Adds planned tasks to the team's charge, except for what is already reserved for the job."""
+        """Adds the tasks to the charge planned for the team, except for what is already reserved for the job."""
         charge = job.charge_per_task.times(tasks).excess_over(self._view.ledger.reserved_for(job.job_id))
         self._planned[job.team] = self._planned.get(job.team, NO_CHARGE) + charge
 
--- a/spurarch/coordination/admission/planning_state.py
+++ b/spurarch/coordination/admission/planning_state.py
@@ -48,11 +48,11 @@
         self._cpus_with_image: dict[int, dict[int, float]] = {}
 
     def is_starving(self, job: JobView) -> bool:
-        """Returns whether no task of the job has run within the longest wait that users accept."""
+        """Returns whether the job has waited too long, by `JobView.is_starving` and this round's `longest_wait_s`."""
         return job.is_starving(self.now, self.longest_wait_s)
 
     def spare_freed_cpus(self, zone: int) -> float:
-        """Returns the CPUs that a zone frees soon, less those of its queued tasks; may be negative."""
+        """Returns the CPUs that a zone is expected to free soon, less the CPUs of its queued tasks; can be negative."""
         return self.freed_cpus[zone] - self.queued_cpus[zone]
 
     def drop_full_machines(self) -> None:
--- a/spurarch/coordination/admission/writer.py
+++ b/spurarch/coordination/admission/writer.py
@@ -67,8 +67,8 @@
     def record_versions(self, job_id: str) -> RecordVersions:
         """Returns the versions of the records that an admission of the job is based on.
 
-        A plan may wait while an earlier one is committed. If that one moved the same returned tasks, moving them again
-        would run them twice.
+        A plan may wait while an earlier plan is committed. If the earlier plan moved the same returned tasks, moving
+        these tasks again would run them twice.
         """
         state = self._replica.state
         keys = [records.ADMISSION + job_id, *(str(allocation) for allocation in state.allocations.get(job_id, {}))]
@@ -151,8 +151,9 @@
         reservations = self._reserve(batch, term)
         if not batch.admissions:
             return
-        # The admission record is guarded even where it is not written: once it exists, a delayed duplicate of the
-        # transaction that admitted a whole job fails, even if the allocations have changed or were deleted since.
+        # The admission record is guarded even where it is not written: admitting a whole job at once writes none, but a
+        # later admission of its returned tasks does. From then on, a delayed duplicate of the first transaction fails,
+        # even if the allocations have changed or were deleted since.
         guards = {
             key
             for admission in batch.admissions
@@ -170,9 +171,9 @@
             )
 
     def _reserve(self, batch: _Batch, term: int) -> list[QuotaReservation]:
-        """Reserves the charge of each admission in the batch, and removes those that exceed a quota by now.
+        """Reserves the charge of each admission in the batch; removes from it the admissions that now exceed a quota.
 
-        A later round plans the removed ones again.
+        A later round plans the removed admissions again.
         """
         ledger, within_quota, reservations = self._view.ledger, [], []
         for admission in batch.admissions:
@@ -187,7 +188,10 @@
         return reservations
 
     def _log_admission(self, admission: JobAdmission, term: int, admitted: bool) -> None:
-        """Logs the quota totals behind the decision; a refusal at debug level, since it may repeat in every round."""
+        """Logs the decision and its quota totals, before the commit.
+
+        Logs a refusal at debug level, since it can repeat in every round.
+        """
         level = logging.INFO if admitted else logging.DEBUG
         event = "tasks admitted" if admitted else "admission refused by quota"
         if log.isEnabledFor(level):
@@ -208,8 +212,8 @@
         """Releases the reservations of a transaction once its outcome is known and visible in the copy of the records.
 
         After a conflict, the transaction may still have been executed: the conflict may be that of a retry after a lost
-        response. The reservations are then kept until the copy has reached the revision of the conflict. Those of an
-        unknown outcome are kept until a later term.
+        response. The reservations are then kept until the copy has reached the revision of the conflict. If the outcome
+        is unknown, they are kept until a later term. `QuotaLedger.release_resolved` releases the kept reservations.
         """
         self._view.update()
         outcome_known = result.status not in (TransactionStatus.CONFLICT, TransactionStatus.UNKNOWN)
--- a/spurarch/coordination/fleet/capacity.py
+++ b/spurarch/coordination/fleet/capacity.py
@@ -45,7 +45,8 @@
 class MachineCapacity:
     """Total and free resources of one machine, its booked tasks and its cached images.
 
-    `used_by_priority` holds the booked CPUs, GPUs and gigabytes of memory for each priority.
+    `used_by_priority` holds the booked CPUs, GPUs and gigabytes of memory for each priority. In the fleet view,
+    `images` holds the images of the tasks assigned to the machine last; some may not be fetched completely yet.
     """
 
     machine: int
--- a/spurarch/coordination/fleet/fleet_view.py
+++ b/spurarch/coordination/fleet/fleet_view.py
@@ -1,8 +1,8 @@
 """In-memory view of the whole fleet: capacity of machines, charges of teams, and unassigned tasks of partitions.
 
-Each update applies only the records that changed. The leader uses the view for admission and partition owners use it
-for placement. Zones, machine types, teams, images and machines are identified by dense integer indices, which
-`StringInterner` assigns to their names.
+Each update applies only the records that changed. The leader uses the view for admission, final states of jobs and
+scale out; partition owners use it for placement, preemption and the release of idle machines. Zones, machine types,
+teams, images and machines are identified by dense integer indices, which `StringInterner` assigns to their names.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from spurarch.storage.cluster_state import ClusterState
 from spurarch.storage.records import AllocationKey
 
-MAX_CACHED_IMAGES = 32  # per machine, the most recently used
+MAX_CACHED_IMAGES = 32  # per machine, those of the tasks assigned last
 WAIT_OBJECTIVE = "wait"  # kind of the objectives that limit the time from submission to start, by job class
 DEFAULT_GANG_START_S = 30.0  # time to start for gangs of a class without such an objective
 
@@ -143,11 +143,11 @@
         return {zone for zone, member in owners.items() if member is not None and zone in member.unreachable_zones}
 
     def jobs_within_guarantee(self) -> set[str]:
-        """Ids of the jobs within their team's guarantee, after its earlier jobs; they rank first in their priority."""
+        """Ids of the jobs within their team's guarantee, by `GuaranteedJobs`; they rank first in their priority."""
         return self._guaranteed.job_ids()
 
     def borrowed_cpus(self, team: int) -> float:
-        """CPUs that a team uses beyond its guarantee and that other teams may preempt; negative if it uses less."""
+        """CPUs of a team's assigned tasks, services included, beyond its guarantee; negative if it uses less."""
         quota = self.quotas.get(team)
         return sum(self.running_cpus[team].values()) - (quota.guaranteed_cpus if quota is not None else 0.0)
 
--- a/spurarch/coordination/fleet/job_ranking.py
+++ b/spurarch/coordination/fleet/job_ranking.py
@@ -25,7 +25,8 @@
     def rank(self, job: JobView, starving: bool) -> JobRank:
         """Returns the sort key of a job for admission and placement; the lowest key comes first.
 
-        The key orders by priority, then jobs within their team's guarantee before others, then by deadline. Starving
+        The key orders by priority, then jobs within their team's guarantee before others, then by deadline, then by
+        submission. For a gang, the deadline is that of its start; otherwise `_size_delay_s` is added to it. Starving
         jobs rank before all others regardless of priority, so that a stream of more urgent jobs can't starve them.
         """
         if starving:
--- a/spurarch/coordination/fleet/quota_ledger.py
+++ b/spurarch/coordination/fleet/quota_ledger.py
@@ -83,7 +83,7 @@
         self.violations = InvariantViolations()
 
     def recorded(self, team: int) -> Charge:
-        """Returns the charge of the team's recorded tasks."""
+        """Returns the charge of the team's tasks that the records list as assigned or unassigned."""
         return self._recorded.get(team, NO_CHARGE)
 
     def reserved(self, team: int) -> Charge:
--- a/spurarch/coordination/scaling/isolation_detector.py
+++ b/spurarch/coordination/scaling/isolation_detector.py
@@ -11,7 +11,8 @@
 
 log = logging.getLogger(__name__)
 
-MIN_UNREGISTERED_MACHINES = 2  # a single one may be due to a delayed duplicate of a heartbeat
+# A single one may be due to a delayed duplicate of a heartbeat. Partitions with fewer than 8 machines need only one.
+MIN_UNREGISTERED_MACHINES = 2
 RECENT_HEARTBEAT_S = 2.0
 MAX_EMPTY_UNREACHABLE_S = 60.0  # after this time without machines, a zone is no longer marked unreachable
 # Time with most machines silent and no load messages from peers, after which a one-way partition is suspected.
@@ -21,10 +22,10 @@
 class IsolationDetector:
     """Updates whether owned zones are isolated or unreachable, for the member record.
 
-    If other controllers receive heartbeats from the silent workers, this controller is partitioned from them and
-    another one should own the partition. If none does, the zone is unreachable and the partition keeps its owner, the
-    only controller that received the latest heartbeats and can tell when the leases have expired. A new owner would
-    have to wait longer, or release all machines.
+    If other controllers receive heartbeats from the silent workers, this controller is partitioned from the workers and
+    another controller should own the partition. If no other controller receives any, the zone is unreachable and the
+    partition keeps its owner, the only controller that received the latest heartbeats and can tell when the leases have
+    expired. A new owner would have to wait longer, or release all machines.
     """
 
     def __init__(self, membership: Membership) -> None:
--- a/spurarch/coordination/scaling/machine_releaser.py
+++ b/spurarch/coordination/scaling/machine_releaser.py
@@ -43,7 +43,7 @@
             idle = [m for m in machines if m.state is MachineState.ACTIVE and not m.attempts]
             if not await self._cordon(owned.partition, idle) or not self._permissions.owns(owned.partition):
                 return
-            # The records may have assigned a task to one of the idle machines during the transactions.
+            # A task may have been assigned to one of the idle machines while the transactions were committed.
             machines = [machine for machine in machines if machine not in idle or not machine.attempts]
             if machines:
                 await self._release_if_still_owned(owned, machines)
@@ -98,7 +98,7 @@
             del self._released[next(iter(self._released))]
 
     def released_on_record(self) -> list[str]:
-        """Returns released machines that are still on record, at most MAX_MACHINES_PER_RELEASE.
+        """Returns released machines whose records still exist, at most MAX_MACHINES_PER_RELEASE.
 
         The records remain if another controller took over the partition before they were deleted, or if a delayed
         transaction wrote them. The owner would count the machines as capacity and wait for their heartbeats.
@@ -107,7 +107,10 @@
         return [name for name, zone in self._released.items() if name in on_record[zone]][:MAX_MACHINES_PER_RELEASE]
 
     async def _release(self, owned: OwnedPartition, machines: list[Machine], may_release: Callable[[], bool]) -> None:
-        """Calls the cloud; its confirmation proves that no task runs on the machines any more."""
+        """Calls the cloud, and marks the machines as released once it confirms.
+
+        The confirmation proves that no task runs on the machines any more.
+        """
         try:
             await self._cloud.release([machine.name for machine in machines], may_release)
         except (CloudError, NoCapacityError) as err:
@@ -119,7 +122,7 @@
         await owned.wakeup.set()
 
     async def _cordon(self, partition: Partition, machines: list[Machine]) -> bool:
-        """Cordons machines on record, so that no task is assigned while the cloud releases them.
+        """Cordons machines in their records, so that they are assigned no task while the cloud releases them.
 
         Returns False if a transaction was not committed.
         """
--- a/spurarch/coordination/scaling/overdue_machines.py
+++ b/spurarch/coordination/scaling/overdue_machines.py
@@ -10,7 +10,7 @@
 from spurarch.storage import records
 from spurarch.storage.cluster_state import ClusterState
 
-# Shares of `cancel_s`, within which a cancelled task must have left its machine.
+# Shares of `cancel_s`, the time from the cancellation within which a task must have left its machine.
 OVERDUE_SHARE = 0.4
 OVERDUE_UNCONFIRMED_SHARE = 0.8
 MIN_HEARTBEATS_SINCE_STALL = 4.0  # heartbeat intervals that this process must have run without a stall
@@ -19,15 +19,17 @@
 def overdue_machines(
     partition: Partition, workers: Workers, now: float, mostly_silent: bool, resumed_at: float = 0.0
 ) -> list[Machine]:
-    """Returns machines that may still run a cancelled task long after its stop was requested.
+    """Returns machines that may still run a task long after its job was cancelled.
 
     A machine that hangs neither stops its tasks nor lets the expired lease end them; only its release proves that they
-    have ended. Releasing a healthy machine costs work, but waiting breaks the guarantee of `cancel_s`. So these
+    have ended. Releasing a healthy machine costs work, but waiting breaks the guarantee of `cancel_s`. So overdue
     machines are released even during an outage of the state service, when this owner may no longer own the partition.
 
-    Unconfirmed machines, and all machines if most are silent, may send heartbeats to another owner, which stops the
-    task. Their limit is longer: by then, another owner that can't reach the state service must have stopped responding
-    to their heartbeats.
+    Unconfirmed machines, and all machines if most are silent, possibly send heartbeats to another owner, which stops
+    the task. Their limit is longer: by then, another owner that can't reach the state service must have stopped
+    responding to their heartbeats.
+
+    Also removes machines without such a task from `partition.machines_with_cancelled_tasks`.
     """
     overdue = []
     for name in list(partition.machines_with_cancelled_tasks):
@@ -53,7 +55,7 @@
 ) -> dict[str, str]:
     """Returns machines, with their zones, that may run a cancelled task in a partition without a running owner.
 
-    This happens if an owner ends and the state service fails before another controller claims the partition. The
+    A partition is left like this if its owner ends and the state service fails before another controller claims it. The
     decision uses this controller's copy of the records and the longer limit of unconfirmed machines.
 
     `zones` are those without a running owner. `time_since_cancellation` returns seconds, or None for a job that is not
--- a/spurarch/coordination/scaling/scale_in.py
+++ b/spurarch/coordination/scaling/scale_in.py
@@ -46,7 +46,7 @@
 
 
 class ScaleIn:
-    """Starts all releases of machines by a partition owner."""
+    """Starts the releases of machines by a partition owner, and of orphaned machines by any controller."""
 
     def __init__(self, context: ScaleInContext, owned: dict[str, OwnedPartition]) -> None:
         self._replica, self._membership, self._view = context.replica, context.membership, context.view
@@ -63,7 +63,10 @@
         self._releasing_orphans = False
 
     async def release_silent(self, owned: OwnedPartition, now: float) -> None:
-        """Starts the release of machines that are silent, receive no heartbeat responses, or were never confirmed."""
+        """Starts the release of machines that are silent, receive no heartbeat responses, or were never confirmed.
+
+        Also updates `owned.mostly_silent`, and whether the zone is isolated or unreachable.
+        """
         if now < owned.next_silence_check or not self._permissions.records_are_fresh(now):
             return
         owned.next_silence_check = now + CHECK_INTERVAL_S
@@ -151,14 +154,15 @@
             await curio.spawn(release, owned, machines, daemon=True)
 
     def released_on_record(self) -> list[str]:
-        """Machines that this process released and that are still on record."""
+        """Machines that this process released and whose records still exist in the state service."""
         return self._releaser.released_on_record()
 
     def on_peer_load(self, node: str, unregistered_machines: dict[str, int], released_machines: list[str]) -> None:
         """Applies a peer's load message.
 
         `unregistered_machines` counts, by zone, workers that send heartbeats to the peer instead of their partition's
-        owner; `released_machines` are names of machines that the peer released and that are still on record.
+        owner; `released_machines` are names of machines that the peer released and whose records still exist. Marks
+        these machines as released in owned partitions, and makes the next silence check of the counted zones due now.
         """
         self.unregistered_machines_by_peer[node] = unregistered_machines
         for owned in self._owned.values():
@@ -167,4 +171,4 @@
                     owned.partition.on_released(name)
         for zone in unregistered_machines:
             if zone in self._owned:
-                self._owned[zone].next_silence_check = 0.0  # check at once: the leases of those workers expire soon
+                self._owned[zone].next_silence_check = 0.0  # the leases of unregistered workers expire soon
--- a/spurarch/coordination/scaling/scale_out.py
+++ b/spurarch/coordination/scaling/scale_out.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootingMachine:
-    """A requested machine that is not on record yet because it has sent no heartbeat."""
+    """A requested machine that has no record in the state service yet, since it has sent no heartbeat."""
 
     kind: MachineKind
     requested_at: float  # seconds of the monotonic clock
@@ -55,7 +55,7 @@
         self._has_list = False  # whether the machine list was read in this term
 
     def begin_term(self, term: int) -> None:
-        """Starts acting as the leader of a term."""
+        """Starts acting as the leader of a term (see `Membership.confirmed_term`)."""
         self._term = term
 
     def end_term(self) -> None:
@@ -114,7 +114,7 @@
             del self.booting[name]
 
     async def _check_machine_list(self) -> None:
-        """Adds listed booting machines; releases those that failed or were not ready in time and are not on record."""
+        """Adds listed booting machines; releases machines without a record that failed or were not ready in time."""
         machines = await self._cloud.machines()
         now = time.monotonic()
         self._has_list = True
--- a/spurarch/coordination/scaling/scale_out_planner.py
+++ b/spurarch/coordination/scaling/scale_out_planner.py
@@ -90,6 +90,9 @@
 ) -> list[ScaleOutOrder]:
     """Returns orders, at the lowest price per task, for tasks that fit on neither ready nor booting machines.
 
+    Nothing is ordered for tasks that are expected to start on capacity freed while a machine boots, or for the later
+    waves of `_reduce_to_one_wave`.
+
     `exhausted` are kinds for which the cloud recently had no capacity; `zones` are those in which machines may be
     requested; `now` is in Unix seconds.
     """
--- a/spurarch/coordination/scaling/silent_machines.py
+++ b/spurarch/coordination/scaling/silent_machines.py
@@ -57,8 +57,8 @@
             # duration proves nothing and a release would end healthy tasks. It stops responding after
             # `previous_owner_s` at the latest; its workers then find this owner.
             unconfirmed_s=max(workers.lease_s * UNCONFIRMED_LEASES, previous_owner_s + FIND_OWNER_S),
-            # Not urgent: the tasks may already start elsewhere, and if an unreachable zone becomes reachable again, its
-            # machines can be used again.
+            # Not urgent: once the lease has expired, the tasks can be started elsewhere, and if an unreachable zone
+            # becomes reachable again, its machines can be used again.
             lease_expired_s=EXPIRED_LEASES * workers.lease_s,
             with_tasks_s=max(tuning.silent_release_s, SILENT_HEARTBEATS * workers.heartbeat_interval_s),
             without_tasks_s=workers.lease_s * WITHOUT_TASKS_LEASES,
@@ -70,6 +70,9 @@
 
     This controller is then more likely to be partitioned from the workers than the machines are to have failed.
     Releasing them would discard a zone of healthy machines, which may already send heartbeats to another controller.
+
+    Silent means here: without a heartbeat for MOSTLY_SILENT_HEARTBEATS, and for at least MIN_MOSTLY_SILENT_S. The
+    limits after which single machines are released are those of `SilenceLimits`.
     """
     workers = observation.workers
     limit_s = max(MIN_MOSTLY_SILENT_S, MOSTLY_SILENT_HEARTBEATS * workers.heartbeat_interval_s)
@@ -90,8 +93,9 @@
 def silent_machines(observation: SilenceObservation, limits: SilenceLimits, mostly_silent: bool) -> list[Machine]:
     """Returns machines to release because they are silent or receive no heartbeat responses.
 
-    Their release is the fastest proof that they run no task. While this controller may be partitioned from the workers,
-    only machines without a valid lease are returned, whose release loses no work.
+    A machine's release is the fastest proof that it runs no task. While this controller is possibly partitioned from
+    the workers, active machines are not returned, since their release could end healthy tasks. The lease of a machine
+    in LEASE_EXPIRED has ended, and an UNCONFIRMED one has had the time to find this owner.
     """
     found = [machine for machine in observation.partition.machines.values() if _is_silent(machine, observation, limits)]
     if mostly_silent or _may_be_isolated(observation):
@@ -102,6 +106,8 @@
 def _may_be_isolated(observation: SilenceObservation) -> bool:
     """Whether so many heartbeats are late that this controller may be partitioned from the workers.
 
+    These are heartbeats of at least two machines, and of more than SUSPECT_LATE_SHARE of the active machines.
+
     When a controller loses contact with its workers, the first machines exceed the limit for a single machine before
     half of them exceed the limit of `is_mostly_silent`. Without this check, a quarter of a healthy zone was released in
     the second between.
--- a/spurarch/coordination/scheduling/array_placement.py
+++ b/spurarch/coordination/scheduling/array_placement.py
@@ -54,7 +54,10 @@
         self._assign_by_best_fit(allocation, job, self._round.unplaced(allocation), cached)
 
     def waits_for_image(self, allocation: AllocationKey, job: JobView) -> bool:
-        """Returns whether the tasks are of an array and their wait is shorter than the fetch of their image."""
+        """Returns whether the tasks are of an array and their wait is shorter than the fetch of their image.
+
+        The first call for an allocation sets the time from which its wait is measured.
+        """
         if not job.array:
             return False
         waiting_since = self._round.placement_state.allocation_waiting_since(allocation, self._round.now)
@@ -73,7 +76,10 @@
         return list(entries)
 
     def _reserve_machine(self, job: JobView) -> None:
-        """Reserves a machine until a task of the job fits there, so that small tasks don't starve a large one."""
+        """Excludes a machine from the rest of the round, so that small tasks don't starve a large one.
+
+        Later rounds choose the same machine again until a task of the job fits there.
+        """
         if self._reserved_machines >= MAX_RESERVED_MACHINES:
             return
         capacity = machine_to_reserve(job.requirements, self._round.capacities.schedulable)
--- a/spurarch/coordination/scheduling/guarantee_preemption.py
+++ b/spurarch/coordination/scheduling/guarantee_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption by guarantee: returns capacity that teams borrowed to teams that are within their guaranteed quota."""
+"""Preemption by guarantee: stops tasks of teams beyond their guaranteed quota for jobs within that of their team."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
     def preempt_for_task(self, key: TaskKey, job: JobView) -> bool:
         """Stops one task that another team runs beyond its guarantee, for a job within its own team's guarantee.
 
-        Returns whether a task was stopped. This is the second preemption rule of the protocol. The task that started
-        last is stopped first, and no team falls below its guarantee.
+        Returns whether a task was stopped. This is the protocol's second preemption rule, besides preemption by
+        priority. Of the tasks whose stop makes the task fit, the one that started last is stopped; service replicas and
+        gang members are never stopped. By the records and the stops of this round, no team falls below its guarantee.
+        Stops in earlier rounds and in other partitions count only once the ends of the tasks are recorded.
         """
         if self._candidates is None:
             self._candidates = self._collect_candidates()
@@ -43,7 +45,7 @@
         return False
 
     def _borrowed_cpus(self, team: int) -> float:
-        """Returns the CPUs that a team still borrows after the tasks stopped in this round have ended."""
+        """Returns the CPUs that a team still borrows after the tasks stopped here in this round have ended."""
         return self._round.view.borrowed_cpus(team) - self._stopped_cpus.get(team, 0.0)
 
     def _collect_candidates(self) -> list[TaskAttempt]:
--- a/spurarch/coordination/scheduling/local_search.py
+++ b/spurarch/coordination/scheduling/local_search.py
@@ -145,8 +145,8 @@
 ) -> str | None:
     """Returns the machine with the fewest booked CPUs that may be drained, or None.
 
-    A machine may be drained if all its long-running tasks are movable and the CPUs booked in the partition stay within
-    the consolidation cap of the remaining machines.
+    A machine may be drained if it has tasks, all its long-running tasks are movable, and the CPUs booked in the
+    partition stay within the consolidation cap of the remaining machines.
     """
     schedulable = [i for i, name in enumerate(machine_names) if partition.machines[name].is_schedulable(now)]
     booked_cpus = sum(capacities[i].cpus - capacities[i].free_cpus for i in schedulable)
@@ -172,7 +172,10 @@
     draining_machines: frozenset[int],
     tuning: Tuning,
 ) -> list[tuple[TaskAttempt, str]]:
-    """Returns moves of the replicas on a machine that is drained; its other tasks run to completion there."""
+    """Returns moves of the replicas on a machine that is drained; its other tasks run to completion there.
+
+    Books the moves on `capacities` and marks the moved replicas as not movable.
+    """
     moves: list[tuple[TaskAttempt, str]] = []
     for task in tasks:
         if task.machine != source or not task.movable or len(moves) >= tuning.moves_per_round:
--- a/spurarch/coordination/scheduling/moved_replicas.py
+++ b/spurarch/coordination/scheduling/moved_replicas.py
@@ -19,7 +19,7 @@
         self._reserved: dict[TaskKey, MachineCapacity] = {}
 
     def target(self, key: TaskKey, requirements: Requirements) -> MachineCapacity | None:
-        """Returns the target machine of a replica's migration, or None without one or if the replica doesn't fit."""
+        """Returns the target machine of a replica's migration; None if it has none or does not fit there."""
         target = self._round.placement_state.move_targets.get(key)
         if target is None:
             return None
--- a/spurarch/coordination/scheduling/placement.py
+++ b/spurarch/coordination/scheduling/placement.py
@@ -43,7 +43,10 @@
         self._placement_state = PlacementState()
 
     def reserve_move_target(self, key: TaskKey, machine: str, expires_at: float) -> None:
-        """Reserves capacity for a replica on its target machine until the given time in monotonic seconds."""
+        """Records the target machine of a replica's migration until `expires_at`, in monotonic seconds.
+
+        Rounds until then book capacity there once the replica is stopping or has stopped.
+        """
         self._placement_state.move_targets[key] = MoveTarget(machine, expires_at)
 
     def run_round(
@@ -82,7 +85,7 @@
 
 
 class _PlacementStep(NamedTuple):
-    """Allocations of one priority that are placed one after another, by the same function."""
+    """Allocations that are placed one after another, by the same function."""
 
     place: PlaceAllocation
     allocations: list[AllocationKey]
@@ -143,8 +146,8 @@
     def _placeable(self) -> list[AllocationKey]:
         """Returns the allocations with waiting tasks that may be placed now.
 
-        Arrays are skipped while array changes wait to be committed: no further arrays can be started until then, and
-        their order may change.
+        Arrays are skipped while `pending_changes`, such as starts of arrays and deletions of allocations, wait to be
+        committed: no further arrays can be started until then, and their order may change.
         """
         jobs, pending = self._round.view.jobs, self._round.pending_changes
         return [
@@ -157,7 +160,7 @@
         ]
 
     def _may_start(self, job_id: str) -> bool:
-        """Returns whether the job is live and not in backoff."""
+        """Returns whether the job has a record, is not cancelled and is not in backoff."""
         backoff = self._round.partition.backoffs.get(job_id)
         return is_uncancelled_job(self._round.view.state, job_id) and (
             backoff is None or backoff.not_before <= self._round.now
@@ -168,11 +171,15 @@
         return self._round.view.ranking.rank(job, self._round.is_starving(job)), allocation.job, allocation.chunk
 
     def _steps(self, allocations: list[AllocationKey]) -> list[_PlacementStep]:
-        """Splits allocations of one priority into steps, in the order in which they are placed.
+        """Splits allocations into steps, in the order in which they are placed.
+
+        The allocations belong to starving jobs; or to jobs of one priority that are all within the guarantee of their
+        team, or all beyond it.
 
         While tasks wait for capacity, a machine that becomes free should go to a task whose image it has: that task
         starts at once, whereas fetching an image leaves the capacity idle for seconds. A task whose wait is shorter
-        than the fetch of its image therefore yields to tasks whose image is cached on the machine.
+        than the fetch of its image therefore yields to tasks whose image is cached on the machine. All other tasks,
+        which are services, gangs and arrays that have waited longer, are placed first.
         """
         jobs = self._round.view.jobs
         waiting_for_image: list[AllocationKey] = []
--- a/spurarch/coordination/scheduling/placement_round.py
+++ b/spurarch/coordination/scheduling/placement_round.py
@@ -80,12 +80,12 @@
         self.result.entries.setdefault(allocation, {})[entry.index] = assigned
 
     def return_to_leader(self, allocation: AllocationKey, entry: TaskEntry) -> None:
-        """Returns a task to the leader, which admits it to another partition."""
+        """Returns a task to the leader, which admits it again, to this or another partition."""
         returned = TaskEntry(entry.index, records.RETURNED, entry.attempt)
         self.result.entries.setdefault(allocation, {})[entry.index] = returned
 
     def use_claimed_capacity(self, allocation: AllocationKey, job: JobView, entry: TaskEntry) -> bool:
-        """Assigns a task to the machine that it has a claim on, or books the capacity there until the task fits.
+        """Assigns a task to the machine that it has a claim on, if it fits there; books its capacity there in any case.
 
         Returns False if the task has no valid claim.
         """
--- a/spurarch/coordination/scheduling/priority_preemption.py
+++ b/spurarch/coordination/scheduling/priority_preemption.py
@@ -13,7 +13,7 @@
 
 
 class PriorityPreemption:
-    """Finds and stops tasks of lower priority during one round, as few of them as possible for one task."""
+    """Finds and stops tasks of lower priority during one round; for one task, on the machine where the fewest stop."""
 
     def __init__(self, current_round: PlacementRound, preemption: Preemption) -> None:
         self._round, self._preemption = current_round, preemption
@@ -33,11 +33,11 @@
         return self._has_lower_priority[priority]
 
     def preempt_for_task(self, key: TaskKey, requirements: Requirements) -> bool:
-        """Preempts on any machine of the partition for a task; returns False if that is not possible.
+        """Preempts on any machine of the partition for a task and claims the capacity; returns False if none is found.
 
         Capacity only shrinks during a round. Requirements for which no victims were found are therefore not searched
-        again, nor by tasks that require at least as much: searching for every waiting replica took most of an owner's
-        processor time while a large fleet started up.
+        again, nor for tasks of the same or a lower priority that require at least as much: searching for every waiting
+        replica took most of an owner's processor time while a large fleet started up.
         """
         if not self.runs_lower_priority_work(requirements.priority):
             return False
@@ -56,8 +56,9 @@
     ) -> bool:
         """Preempts for a task on the given machine where the fewest tasks have to stop.
 
-        Tasks of the lowest priority are stopped first and, among them, those that started last. Returns False if the
-        task would fit on none of the machines.
+        Tasks of the lowest priority are stopped first and, among them, the tasks that started last. Gang members come
+        after all other tasks, and are stopped only for tasks of the highest priority. Returns False if there is no
+        machine on which stopping tasks would make the task fit.
         """
         victims: list[TaskAttempt] = []
         machine: MachineCapacity | None = None
@@ -112,7 +113,7 @@
     def _unbook_victims(
         self, bookings: TentativeBookings, requirements: Requirements, capacity: MachineCapacity, tasks: int
     ) -> list[TaskAttempt]:
-        """Unbooks attempts of lower priority on a machine until `tasks` tasks fit or none is left; returns them."""
+        """Unbooks attempts of lower priority until `tasks` tasks fit or all are unbooked; returns the unbooked ones."""
         victims: list[TaskAttempt] = []
         for attempt in self._candidates(requirements, capacity, with_gangs=False):
             if capacity.task_slots(requirements, tasks) >= tasks:
@@ -122,7 +123,7 @@
         return victims
 
     def _candidates(self, requirements: Requirements, capacity: MachineCapacity, with_gangs: bool) -> list[TaskAttempt]:
-        """Returns the attempts on a machine that may be stopped for the task, in the order in which to stop them.
+        """Returns the attempts on a machine that are allowed to be stopped for the task, in the order to stop them.
 
         Gang members come last, since stopping one stops its whole gang.
         """
--- a/spurarch/coordination/scheduling/round_capacities.py
+++ b/spurarch/coordination/scheduling/round_capacities.py
@@ -18,10 +18,11 @@
 
     Attributes:
         bookings: Bookings that the round has made on the fleet view.
-        schedulable: Machines that take new tasks and were heard from recently, without those excluded in this round.
-        with_free_cpus: Those of them with free CPUs that are not reserved for gangs; empty until
+        schedulable: Machines that take new tasks and whose last heartbeat is at most `max_silence_s` ago, without
+            machines excluded in this round.
+        with_free_cpus: Machines of `schedulable` that have free CPUs and are not reserved for gangs; empty until
             `collect_with_free_cpus` is called.
-        reserved_for_gangs: Machines that arrays must not use; service replicas use them if they fit nowhere else.
+        reserved_for_gangs: Machines that arrays must not use; service replicas that fit nowhere else use them.
     """
 
     def __init__(self, partition: Partition, view: FleetView, now: float, max_silence_s: float) -> None:
