--- a/spurarch/archive/changes.py
+++ b/spurarch/archive/changes.py
@@ -34,7 +34,7 @@
 
 
 def to_archive_entries(history: HistoryRecord, changes: wire.Changes) -> list[Entry]:
-    """Returns the changes to a history's archived records, by ascending revision.
+    """Returns the changes to a history's archived records and its history record, by ascending revision.
 
     Raises `HistoryEndedError` if a change shows that the history has ended.
     """
--- a/spurarch/archive/follower.py
+++ b/spurarch/archive/follower.py
@@ -4,6 +4,9 @@
     READING, FOLLOWING -> SEALED, once the history has ended
     SEALED -> READING, once the next history is open
 
+A history is everything that was written since the state service was last empty or rebuilt (see `storage.history`).
+SEALED means here that archiving the history has ended; its marker possibly still exists.
+
 The pages of a snapshot are read at different revisions. Replaying every change since the first page's revision makes
 them consistent: applying a change that a page already contains has no effect.
 """
@@ -169,7 +172,7 @@
         self._set_phase(FollowerPhase.READING)
 
     async def _read_snapshot(self, history: _FollowedHistory) -> None:
-        """Reads all pages and the changes since the first of them, and writes a consistent snapshot.
+        """Reads all pages and the changes since the first page, writes a consistent snapshot and starts a change log.
 
         Raises `HistoryEndedError`.
         """
--- a/spurarch/archive/progress.py
+++ b/spurarch/archive/progress.py
@@ -22,7 +22,11 @@
 
 
 class ProgressPublisher:
-    """Publishes the newest revision on disk to the partition owners, as one archiver process."""
+    """Publishes the newest revision on disk, for one archiver process.
+
+    Partition owners wait for it before workers may discard terminal attempts, and responses to users wait for it if
+    `responses_await_archive` is set.
+    """
 
     def __init__(self, store: Store, archiver_id: str) -> None:
         self._store, self._archiver_id = store, archiver_id
@@ -41,7 +45,10 @@
         return max(0.0, self._next_publish_at - now)
 
     async def publish(self, history: str, marker_version: int, revision: int) -> bool:
-        """Publishes a revision if it is new and `PUBLISH_INTERVAL_S` has passed; False if the history was sealed."""
+        """Publishes a revision if it is new and `PUBLISH_INTERVAL_S` has passed; False if the history was sealed.
+
+        Returns True in all other cases, also if publishing failed; `is_published` shows whether it succeeded.
+        """
         if self.is_published(revision) or time.monotonic() < self._next_publish_at:
             return True
         self._next_publish_at = time.monotonic() + PUBLISH_INTERVAL_S
--- a/spurarch/cli.py
+++ b/spurarch/cli.py
@@ -1,4 +1,8 @@
-"""The command line. Each command imports only the modules that it needs, so that a controller starts fast."""
+"""The command line.
+
+The platform starts a controller by `--config FILE` alone. This imports only what a controller needs, so that it starts
+fast. All other command lines also import the modules that define the operators' commands.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +61,7 @@
 
 
 def _add_operator_commands(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Adds the operators' commands. Those of the archive are left out if their libraries are not installed."""
+    """Adds the operators' commands. The `archive` commands are left out if their libraries are not installed."""
     from spurarch.recovery import commands as recovery
 
     recovery.add_parser(commands)
@@ -163,7 +167,10 @@
 
 
 def _serve_with_recovery(platform: Platform, tuning: Tuning) -> None:
-    """Runs one controller after another, without end. Each uses the history of records in force when it starts."""
+    """Runs one controller after another, without end.
+
+    Each controller uses the history (see `spurarch.storage.history`) that is open when it starts.
+    """
     import curio
 
     from spurarch.recovery.launch import controller_with_recovery
--- a/spurarch/coordination/api/jobs.py
+++ b/spurarch/coordination/api/jobs.py
@@ -33,7 +33,7 @@
 COMMIT_TIMEOUT_S = 2.5
 SYNC_TIMEOUT_S = 1.2
 CANCEL_ATTEMPTS = 4
-MAX_QUEUE_WAIT_S = 2.0  # of submissions for the rate limit of the state service; users wait no longer than this
+MAX_QUEUE_WAIT_S = 2.0  # expected wait for the state service's rate limit above which a submission gets 503
 ARCHIVE_TIMEOUT_S, ARCHIVE_POLL_S = 1.2, 0.02  # only if responses have to wait for the archive
 MAX_ARCHIVED_JOBS = 20_000
 RECORD_MARGIN_BYTES = 64  # the state service may count slightly more bytes per value than were sent
@@ -62,7 +62,7 @@
         self._record_bytes = deployment.state.value_bytes - RECORD_MARGIN_BYTES
 
     def check(self, spec: wire.Submission) -> Response | None:
-        """Returns None if the job can run, else the error response: 422, or 503 while machine types are not known."""
+        """Returns None if the job can ever run here, else the error: 422, or 503 while machine types are not known."""
         team = self._teams.get(spec.team)
         if team is None:
             return api_error(422, "crew: unknown team")
@@ -91,7 +91,7 @@
 
 
 def _task_fits(spec: wire.Submission, machine_type: wire.MachineType) -> bool:
-    """Returns whether the job allows the machine type and one task fits on such a machine."""
+    """Returns whether the job allows the machine type, its zone offers it, and one task fits on such a machine."""
     if spec.types is not None and machine_type.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine_type.zones:
@@ -114,8 +114,9 @@
     async def once_archived(self, revision: int | None, response: Response, final_job: str | None = None) -> Response:
         """Returns `response` when the archive holds `revision`, or 503 after `ARCHIVE_TIMEOUT_S`.
 
-        If `revision` is None, waits for the newest revision on record. `final_job` is the id of a job whose final state
-        the response reports; after one successful wait for it, later responses are not delayed.
+        If `revision` is None, waits for the newest archivable change that this controller has seen. `final_job` is the
+        id of a job whose final state the response reports; after one successful wait for that job, later responses
+        about it are not delayed.
         """
         history = self._replica.store.history
         if history is None or not history.record.responses_await_archive or final_job in self._archived_jobs:
@@ -263,7 +264,8 @@
     async def _state_response(self, job_id: str) -> Response | None:
         """Returns the job's state, at least as new as any reported before by any controller; None if it has no record.
 
-        Raises `StoreUnavailableError`.
+        The response is 503 if the job's outcome is unresolved, or the archive does not hold the state in time. Raises
+        `StoreUnavailableError`.
         """
         state = self._replica.state
         final = state.finals.get(job_id)
@@ -288,7 +290,7 @@
         if record.cancelled:
             return _job_state(200, job_id, wire.CANCELLED)
         self._view.update()
-        job = self._view.jobs.get(job_id)  # counts incrementally: there are many jobs, each polled every few seconds
+        job = self._view.jobs.get(job_id)  # not counted anew: there are many jobs, each polled every few seconds
         done, running = (job.ended, job.assigned) if job is not None else (0, 0)
         return _job_state(200, job_id, wire.RUNNING if running else wire.QUEUED, done, running)
 
--- a/spurarch/protocol/peer_messages.py
+++ b/spurarch/protocol/peer_messages.py
@@ -1,6 +1,6 @@
 """Messages between controllers: tagged tuples in MessagePack.
 
-Any message may be dropped without harm: its content is on record or is sent again.
+A lost message does no harm: its content is stored in the state service or is sent again.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
         process_incarnation: Unique id of the sender's process.
         store_reachable: Whether the sender could read the state service when it received the ping. If so, the lists
             are at least as recent as the ping.
-        cancelled_jobs: Jobs that are cancelled on record or were reported as cancelled by peers.
+        cancelled_jobs: Jobs that are cancelled by their records or were reported as cancelled by peers.
         partitions: Zone, owner's node and epoch of each partition.
         copy_age_s: Age of the copy in seconds, used if the state service is not reachable. The lists are complete up
             to that time before the answer and include every cancellation that the sender's own process has confirmed
-            since. Negative if the sender attests to nothing, since it has never read the state service or the records
+            since. Negative if the lists prove nothing, since the sender has never read the state service or the records
             are being rebuilt. Earlier versions leave out this field and then send empty lists.
         uptime_s: Seconds since the sender's process started.
     """
@@ -55,7 +55,9 @@
 
 
 class Load(Struct, tag="load", array_like=True):
-    """The sender's load. The controllers lend each other the unused shares of their write rates according to it.
+    """The sender's load, by which controllers lend each other unused shares of their write rates.
+
+    It also tells partition owners which workers can't reach their owner, and which machines the sender has released.
 
     Attributes:
         node: Node of the sender.
@@ -63,7 +65,7 @@
         backlogged: Whether more changes are queued at the sender.
         unregistered_machines: By zone, the number of workers that recently sent heartbeats to the sender although
             another controller owns their zone.
-        released_machines: Machines that the sender released and that are still on record.
+        released_machines: Machines that the sender released and whose records still exist.
         throttled_writes: Transactions of the sender that the state service refused by its rate limit since the process
             started. Earlier versions neither send nor read this field.
     """
--- a/spurarch/protocol/recovery_messages.py
+++ b/spurarch/protocol/recovery_messages.py
@@ -3,7 +3,8 @@
 A controller of a version without recovery can't decode them and answers with a message that is not of this module;
 its peers detect the earlier version by that.
 
-A history is one generation of the records in the state service; a rebuild after data loss opens the next one.
+A history is one generation of the records in the state service; a rebuild after data loss opens the next one (see
+`spurarch.storage.history`).
 """
 
 from __future__ import annotations
@@ -45,7 +46,11 @@
 
 
 class EvidenceRequest(Struct, tag="evidence?", array_like=True):
-    """Requests the records of the receiver's copy of a history whose data was lost, from `position` on."""
+    """Requests the records of the receiver's copy of a history whose data was lost, from `position` on.
+
+    The receiver answers with the history that it used last, even if that is not `history`. If it has not detected the
+    loss yet, it verifies the history's marker at its next read.
+    """
 
     node: str
     history: str
@@ -58,7 +63,7 @@
     Attributes:
         node: Node of the sender.
         process_incarnation: Unique id of the sender's process.
-        history: Name of the history.
+        history: Name of the history that the sender used last; possibly not the requested one.
         closed: Whether the sender has stopped using the history. Until then the copy may change, and the page has no
             records.
         loaded: Whether the sender had read the records; if not, the copy has none.
@@ -93,8 +98,8 @@
     Attributes:
         heartbeats: The newest heartbeat of each worker in this page.
         position: Position after this page, for the next request.
-        highest_epoch: Highest epoch in the fencing tokens that workers sent to the sender, other than that of the
-            rebuild in progress.
+        highest_epoch: Highest epoch, other than that of the rebuild in progress, that the sender has seen in workers'
+            fencing tokens, or in a copy of the records during a rebuild of its own.
     """
 
     heartbeats: list[Heartbeat]
--- a/spurarch/protocol/wire.py
+++ b/spurarch/protocol/wire.py
@@ -266,7 +266,10 @@
 
 
 class TxnAnswer(Struct):
-    """Response to a transaction: its revision, or the keys of the guards that failed."""
+    """Response to a transaction: the state service's revision, and the keys of the guards that failed, if any.
+
+    The response to a read of a missing key has the same form.
+    """
 
     revision: int = field(name="ledger")
     failed: list[str] = []
--- a/spurarch/recovery/claim.py
+++ b/spurarch/recovery/claim.py
@@ -1,9 +1,10 @@
 """The claim in the state service that lets only one controller rebuild records at a time.
 
-The holder renews the claim with every transaction. Another controller may acquire it after a timeout. Since that alone
-doesn't exclude a late transaction of the previous holder, every transaction of a rebuild has the version of the claim
-and, once the lost history is sealed, that of the rebuild's own key as guards. Leases of the state service can't be used
-instead, because a wiped service reuses lease numbers.
+The holder renews the claim with every transaction. Another controller may acquire it after a timeout. The timeout alone
+doesn't exclude a late transaction of the previous holder. Therefore every transaction of a rebuild has two guards: the
+version of the claim and, once the lost history is sealed (see `spurarch.storage.history`), the version of the rebuild's
+own key `history/rebuild/<name>`. Leases of the state service can't be used instead, because a wiped service reuses the
+numbers of leases.
 """
 
 from __future__ import annotations
--- a/spurarch/recovery/copies.py
+++ b/spurarch/recovery/copies.py
@@ -27,7 +27,10 @@
 
 
 class ArchiveHead(Struct):
-    """The newest history of an archive server, with its archived revision; `history` is None if it has none."""
+    """The newest history of an archive server, with its archived revision and its number of records.
+
+    `history` is None if the server has no history.
+    """
 
     history: HistoryRecord | None
     revision: int
@@ -94,7 +97,8 @@
 class PeerCopy:
     """A peer's copy, if it has one.
 
-    `is_final` is False if the peer did not answer completely or may still change its copy.
+    `is_final` is False if the peer did not answer completely or may still change its copy. If it is True and `source`
+    is None, the peer has no copy of the requested history.
     """
 
     is_final: bool
--- a/spurarch/recovery/copy_gathering.py
+++ b/spurarch/recovery/copy_gathering.py
@@ -24,7 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-PEERS_TIMEOUT_S = 8.0  # for a peer that does not answer, or has not detected the loss
+# For peers that don't answer or have not detected the loss, and for the archive if every controller gave its copy.
+PEERS_TIMEOUT_S = 8.0
 ARCHIVE_TIMEOUT_S = 30.0  # for the archive, if not every controller gave its copy
 
 
@@ -83,7 +84,7 @@
     async def _request_peer_copies(self, history: str) -> _PeerCopies:
         """Requests every peer's copy for up to `PEERS_TIMEOUT_S`.
 
-        A change that a peer has confirmed to a user may be in no other copy.
+        A change that a peer has confirmed to a user is possibly in no other copy.
         """
         context, pending_peers = self._context, dict(self._context.peers)
         sources: list[Source] = []
--- a/spurarch/recovery/coverage.py
+++ b/spurarch/recovery/coverage.py
@@ -13,8 +13,8 @@
 class ArchiveProgress:
     """Compares revisions with the archived revision that the archiver publishes.
 
-    If that has not risen for `timeout_s` seconds while a later one was needed, changes count as covered without the
-    archive, unless `wait_without_limit` is set.
+    If the archived revision has not risen for `timeout_s` seconds while a later revision was needed, changes count as
+    covered although the archive doesn't hold them, unless `wait_without_limit` is set.
     """
 
     def __init__(self, guard: HistoryGuard, timeout_s: float, wait_without_limit: bool) -> None:
@@ -30,7 +30,8 @@
     def covers(self, revision: int) -> bool:
         """Whether the archive holds all changes up to a revision, or need not be waited for.
 
-        Returns False while the history is not open.
+        The first call for a revision that the archive doesn't hold starts the timeout. Returns False while the history
+        is not open.
         """
         if not self._guard.is_open:
             return False
--- a/spurarch/recovery/evidence.py
+++ b/spurarch/recovery/evidence.py
@@ -97,14 +97,14 @@
     responses_await_archive: bool = False
 
     def add_heartbeat(self, heartbeat: wire.Heartbeat) -> None:
-        """Adds a worker's heartbeat unless it has a newer or the same one."""
+        """Adds a worker's heartbeat unless the same or a newer one of this worker was added before."""
         known = self.heartbeats.get(heartbeat.machine)
         if known is None or (heartbeat.incarnation, heartbeat.seq) > (known.incarnation, known.seq):
             self.heartbeats[heartbeat.machine] = heartbeat
 
 
 def highest_epoch(sources: Iterable[Source]) -> int:
-    """Returns the highest partition epoch on record in any copy; 0 if there is none."""
+    """Returns the highest epoch in the partition records of all copies; 0 if there are none."""
     return max(
         (
             found.record.epoch
--- a/spurarch/recovery/history_opening.py
+++ b/spurarch/recovery/history_opening.py
@@ -40,7 +40,7 @@
 
 
 class HistoryOpening:
-    """Opens the history guard of a controller that starts, or reports a loss of records to it.
+    """Opens the history guard of a controller that starts, or marks the history as lost in the guard.
 
     `store` is a client without a history guard. `installation` is the name that operators gave to the installation
     that owns the records; a state service or an archive of another installation is not used.
@@ -60,7 +60,10 @@
         self._peers, self._archive = peers, archive
 
     async def run(self) -> bool:
-        """Waits until the current history is found; returns False if there is a sign of data loss."""
+        """Waits until the current history is found and opens it in the guard.
+
+        If there is a sign of data loss, marks the history as lost in the guard and returns False.
+        """
         init_hint_logged = False
         while self._guard.phase is HistoryPhase.UNKNOWN:
             try:
@@ -119,7 +122,7 @@
                 return
 
     def _declare_lost(self, history: HistoryRecord, reason: str) -> None:
-        """Reports the loss of a history that this process never worked in."""
+        """Marks a history that this process never worked in as lost, and keeps its record in the guard."""
         if self._guard.mark_lost(reason):
             self._guard.record = history
 
--- a/spurarch/recovery/launch.py
+++ b/spurarch/recovery/launch.py
@@ -16,7 +16,8 @@
 class RecoveryExtension:
     """The recovery components of one controller; a controller that starts again in another history gets new ones.
 
-    `finals` are the final records of the previous controller in this process. They stay valid in every later history.
+    `finals` are the resolved final records of the previous controller in this process; they are valid in every later
+    history.
     """
 
     def __init__(self, tuning: Tuning, finals: Mapping[str, FinalRecord]) -> None:
--- a/spurarch/recovery/loss_detection.py
+++ b/spurarch/recovery/loss_detection.py
@@ -1,4 +1,4 @@
-"""Detects lost records by workers that report later partition epochs than those on record."""
+"""Detects lost records: workers then report later epochs of their partitions than the partition records have."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnrecordedEpoch:
-    """A partition epoch that a worker reported and that is later than the one on record."""
+    """A partition epoch that a worker reported and that is later than the one in the partition's record."""
 
     zone: str
     epoch: int
 
 
 class LossDetector:
-    """Compares the partition epochs in heartbeats with those on record."""
+    """Compares the partition epochs in heartbeats with those in the partition records."""
 
     def __init__(self, guard: HistoryGuard, replica: Replica) -> None:
         self._guard, self._replica = guard, replica
@@ -36,9 +36,10 @@
             self._unrecorded[heartbeat.machine] = _UnrecordedEpoch(heartbeat.zone, reported_epoch)
 
     async def check(self) -> None:
-        """Reports a loss to the guard if at least `MIN_WORKERS` reported epochs that are not on record.
+        """Marks the history as lost if `MIN_WORKERS` or more reported, since the last call, epochs that no record has.
 
-        Brings the copy of the records up to date before it decides. Does nothing if that fails.
+        Brings the copy of the records up to date before it decides. Forgets the reported epochs in any case, also if
+        too few workers reported any or the copy can't be brought up to date.
         """
         if not self._unrecorded:
             return
--- a/spurarch/recovery/merge.py
+++ b/spurarch/recovery/merge.py
@@ -5,15 +5,17 @@
 
   1. A final record overrides everything else about its job. Two that differ leave the outcome unresolved.
   2. Among copies of one history, the change with the highest revision wins, and a copy that is complete at a revision
-     proves that a record which it lacks was deleted by then. A job that is on record in one copy, deleted in a newer
-     one and without a final record in any is terminal with an unresolved outcome, unless it was cancelled.
+     proves that a record which it lacks was deleted by then. A job that has a record in one copy, but none in a newer
+     copy and no final record in any, is terminal with an unresolved outcome. If any copy has it as cancelled, it is
+     kept as a cancelled job instead.
   3. A worker's heartbeat with the rebuild's fencing token is complete for that worker: the attempts that it lists
      exist, others do not, and no command sent earlier has an effect. The end of a task overrides any attempt, a higher
      attempt a lower one.
   4. A task that the records assign to a worker without such a heartbeat stays assigned to it. The partition owner frees
      it as usual, once there is proof that the attempt no longer runs.
-  5. Where users are notified only of what is archived, a job that became terminal without a final record in the archive
-     is not terminal for any user. It continues, and its tasks that were reported as done end at once.
+  5. Where users are notified only of what is archived and a copy of the archive exists, a job that was deleted without
+     a final record in any copy is not terminal for any user. Unlike under rule 2, it continues, and its tasks that were
+     recorded as ended or reported as done end at once.
   6. All other tasks that have not ended are returned to the leader, which admits them again within their teams' quotas.
 """
 
@@ -246,7 +248,7 @@
             task.ended = True
 
     def _mark_unknown_job(self, job: str, heartbeat: wire.Heartbeat, status: wire.TaskStatus) -> None:
-        """Marks a running job without any record as unresolved.
+        """Adds a running job without any record to the unresolved outcomes, without a final record.
 
         Running tasks of terminal jobs are stopped later by the partition owner.
         """
--- a/spurarch/recovery/operators.py
+++ b/spurarch/recovery/operators.py
@@ -32,7 +32,7 @@
 from spurarch.storage.store import Store
 from spurarch.storage.transaction import TransactionStatus
 
-PURGE_BATCH_KEYS = 4  # no state service allows fewer changes in a transaction
+PURGE_BATCH_KEYS = 4  # lowest limit of changes in a transaction that the settings accept
 
 
 class OperatorError(SpurarchError):
@@ -52,7 +52,7 @@
 
 
 async def read_status(store: Store) -> HistoryStatus:
-    """Reads the status.
+    """Reads the status of the current history.
 
     Raises `StoreUnavailableError`, as do all functions of this module that take a store.
     """
@@ -89,7 +89,8 @@
     """Opens the first history of a new installation or, with `adopt`, of one that had no recovery so far.
 
     Only an operator can distinguish a new installation from one that was wiped, so controllers never do this. Raises
-    `OperatorError` if there is a history, or if there are records and `adopt` is not set.
+    `OperatorError` if there is a history, or if `adopt` is not set and there are records under `live/` other than
+    member, leader and partition records.
     """
     if await store.get(CURRENT) is not None:
         raise OperatorError("there is a history already (recovery status)")
@@ -113,7 +114,8 @@
 async def resolve_job(store: Store, job: str, state: str) -> None:
     """Sets the final state of a job whose outcome is unresolved.
 
-    Raises `OperatorError` if it is not unresolved, has another final state on record, or the history is not open.
+    Also deletes the unresolved outcome. Raises `OperatorError` if the outcome is not unresolved, the job has another
+    final record, or the history is not open.
     """
     history = await _read_history(store)
     unresolved = await store.get(history.prefix + UNRESOLVED_PREFIX + job)
@@ -139,7 +141,7 @@
 
 
 async def resolve_unknown_jobs(store: Store) -> None:
-    """Declares that jobs which are not on record were never accepted, so that requests for them get status 404.
+    """Declares that jobs without a record were never accepted, so that requests for these jobs get status 404.
 
     Raises `OperatorError` if the history does not lack jobs, or is not open.
     """
--- a/spurarch/recovery/peer_responder.py
+++ b/spurarch/recovery/peer_responder.py
@@ -47,7 +47,11 @@
         return None
 
     def _evidence_page(self, request: EvidenceRequest) -> EvidencePage:
-        """Returns a page of the copy, without records while the history is open and the copy may still change."""
+        """Returns a page of this controller's copy, whichever history the request names.
+
+        Until this controller has detected the loss, its copy still changes, so the page has no records. Its next read
+        then verifies the history's marker, so that the loss is detected soon.
+        """
         replica, record = self._replica, self._guard.record
         closed = self._guard.phase is HistoryPhase.LOST
         page = EvidencePage(
--- a/spurarch/recovery/rebuild.py
+++ b/spurarch/recovery/rebuild.py
@@ -63,7 +63,10 @@
     async def _seal(self) -> HistoryRecord:
         """Deletes the marker of the lost history, so that no transaction of that history can commit any more.
 
-        Returns the lost history. Raises `ClaimLostError`, `RebuildRefusedError` or `StoreUnavailableError`.
+        The same transaction writes the rebuild's own key, and the new history's partition epoch into the claim. After
+        it, the collection of heartbeats for this epoch begins. Returns the lost history.
+
+        Raises `ClaimLostError`, `RebuildRefusedError` or `StoreUnavailableError`.
         """
         store = self._context.store
         item = await store.get(CURRENT)
--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -42,7 +42,8 @@
 
 CHECK_INTERVAL_S = 0.25
 REFUSED_RETRY_S = 3.0  # after a `RebuildRefusedError`
-REBUILD_RATE_SHARE = 0.9  # of the state service's rate limits, since no other controller uses them during a rebuild
+# Part of the state service's rate limits. All other controllers only poll the claim and the current history meanwhile.
+REBUILD_RATE_SHARE = 0.9
 CONNECTIONS = 2  # each to the state service and the archive server
 
 
@@ -129,7 +130,7 @@
         return self.phase is ServicePhase.MOVED
 
     async def open_history(self) -> bool:
-        """Waits until the current history is found; returns False if there is a sign of data loss."""
+        """Waits until the current history is open in the guard; returns False if there is a sign of data loss."""
         return await self._opening.run()
 
     async def run(self) -> None:
@@ -198,11 +199,11 @@
         return copies.memory_source(self._node, self._replica.state, self._replica.loaded_revision)
 
     def observe(self, heartbeat: wire.Heartbeat) -> None:
-        """Checks a worker's heartbeat for a sign of data loss."""
+        """Passes a worker's heartbeat to the loss detector, which `run` asks for signs of data loss."""
         self._loss_detector.observe(heartbeat)
 
     async def on_heartbeat(self, heartbeat: wire.Heartbeat) -> Response:
-        """Answers a heartbeat while the history is closed.
+        """Answers a heartbeat while the records are untrusted.
 
         The partition owner answers until a rebuild has chosen an epoch, after that the collector.
         """
--- a/spurarch/recovery/worker_survey.py
+++ b/spurarch/recovery/worker_survey.py
@@ -35,9 +35,9 @@
     """Collects the heartbeats with the rebuild's fencing token from all controllers.
 
     An attempt is recorded before it is started. If every controller gave its copy, each running attempt is in a copy,
-    and a silent worker is waited for only for a few heartbeat intervals. Otherwise a silent worker may run attempts
-    that only a stopped controller had on record. Its lease expires at most `cancel_s` after the history was sealed,
-    because a controller without access to current records stops answering heartbeats early enough.
+    and a silent worker is waited for only for a few heartbeat intervals. Otherwise a silent worker possibly runs
+    attempts that were only in the copy of a stopped controller. The worker's lease expires at most `cancel_s` after the
+    history was sealed, because a controller without access to current records stops answering heartbeats early enough.
     """
 
     def __init__(self, context: RebuildContext, progress: RebuildProgress) -> None:
@@ -47,8 +47,8 @@
     async def collect(self, lost_history: HistoryRecord, copies: GatheredCopies) -> Evidence:
         """Returns the copies with the workers' newest heartbeats.
 
-        Raises `RebuildRefusedError` if a copy or a worker shows a later epoch than the rebuild's, `ClaimLostError` or
-        `StoreUnavailableError`.
+        Raises `RebuildRefusedError` if a copy has the rebuild's epoch or a later one, or if a worker reported a later
+        one; `ClaimLostError` or `StoreUnavailableError`.
         """
         self._refuse_later_epoch(copies)
         evidence = Evidence(
@@ -109,7 +109,7 @@
     async def _collect_from_peer(self, node: str, peer: PeerClient, evidence: Evidence) -> int:
         """Adds all heartbeats that a peer has received so far.
 
-        Returns the highest epoch that a worker reported to the peer; 0 if the peer does not answer.
+        Returns the highest other epoch that the peer has seen (see `HeartbeatsPage`); 0 if it does not answer.
         """
         while True:
             await self._progress.renew_claim_if_due()
@@ -129,7 +129,7 @@
         return bool(page.heartbeats)
 
     async def _add_cloud_machines(self, awaited_machines: set[str]) -> bool:
-        """Adds the cloud's machines, some of which only a stopped controller may have had on record.
+        """Adds the cloud's machines, some of which were possibly only in the copy of a stopped controller.
 
         Returns False if the cloud did not list its machines.
         """
--- a/spurarch/settings.py
+++ b/spurarch/settings.py
@@ -140,7 +140,7 @@
 
 
 class Deployment(Struct):
-    """The deployment; `count` is the number of its controllers. The same for all of them."""
+    """Settings that are the same for all controllers of a deployment; `count` is the number of controllers."""
 
     zones: Annotated[list[Name], Meta(min_length=1)]
     teams: list[Team]
--- a/spurarch/storage/cluster_state.py
+++ b/spurarch/storage/cluster_state.py
@@ -34,7 +34,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_FINAL_RECORDS = 20_000  # of the newest terminal jobs
+MAX_FINAL_RECORDS = 20_000  # final records kept in memory; the oldest are dropped first
 
 
 @dataclass(slots=True)
@@ -46,7 +46,11 @@
 
 
 class ClusterState:
-    """The records at `revision`, with indexes. Performs no I/O except logging."""
+    """The records at `revision` or later, with indexes. Performs no I/O except logging.
+
+    Records are later than `revision` if this controller committed them and no watch has delivered the change yet, or if
+    they were read page by page.
+    """
 
     def __init__(self) -> None:
         self.entries: dict[str, VersionedRecord] = {}
@@ -78,7 +82,7 @@
 
     @property
     def consistent(self) -> bool:
-        """Whether all records are of one revision; those read page by page are, once the watch has caught up."""
+        """Whether all records are of one revision. After they were read page by page, a watch has to catch up first."""
         return self.revision >= self.consistent_from_revision
 
     def version(self, key: str) -> int:
@@ -87,7 +91,11 @@
         return entry.version if entry else 0
 
     def put(self, key: str, version: int, record: Record) -> None:
-        """Adds or replaces a record unless a change of its key at this or a later revision was applied."""
+        """Adds or replaces a record unless a change of its key at this or a later revision was applied.
+
+        A final record is only put into `finals`, whatever its version, and subscribers are not notified. The oldest
+        final record is dropped if there are more than `MAX_FINAL_RECORDS`.
+        """
         if version <= self.version(key) or version <= self._deleted_revisions.get(key, 0):
             return
         if isinstance(record, FinalRecord):
@@ -120,7 +128,10 @@
         return new
 
     def delete(self, key: str, version: int) -> None:
-        """Deletes a record unless its key was written after the revision `version`."""
+        """Deletes a record unless its key was written after the revision `version`.
+
+        Also removes the key from `undecodable_keys`. Final records stay in `finals`.
+        """
         if key in self.undecodable_keys:
             del self.undecodable_keys[key]
             self._mark_changed(key)
--- a/spurarch/storage/commit.py
+++ b/spurarch/storage/commit.py
@@ -113,7 +113,7 @@
         return result
 
     def _check_conflict(self, history: HistoryGuard, sent: dict[str, int], failed: list[str]) -> None:
-        """Reports data loss if a guard failed although its record still has the guarded version in the local copy.
+        """Marks the history as lost if a guard failed although the local copy still has the guarded version.
 
         `sent` are the guarded versions by key, `failed` the keys whose guards failed. The copy was brought up to date
         after the conflict, so without data loss it holds the change that made the guard fail.
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -6,7 +6,8 @@
 `history/open/<name>` exists while the history may be written to. Every transaction guards it, so deleting the marker
 seals the history.
 
-If recovery is disabled, the client of the state service has no `HistoryGuard`, and none of these keys is used.
+If recovery is disabled, the client of the state service has no `HistoryGuard`, no key under `history/` is used, and no
+record key has a prefix of a history.
 """
 
 from __future__ import annotations
@@ -67,7 +68,10 @@
 
 
 class OpenMarker(Struct):
-    """Value of the marker key, which exists while the history may be written to."""
+    """Value of the marker key, which exists while the history may be written to.
+
+    Also the value of the key under `REBUILD`, which exists while a rebuild writes the history with this number.
+    """
 
     number: int
 
@@ -205,7 +209,8 @@
     def check_marker(self, version: int, now: float) -> None:
         """Checks the revision `version` of the marker that was read, 0 if there is none.
 
-        Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless it is open.
+        Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless the history
+        is open.
         """
         if version != self._marker_version:
             self.mark_lost(f"marker of history {self.record.name} at {version}, not {self._marker_version}")
@@ -238,7 +243,8 @@
     def check_result(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
         """Checks the result of a transaction and translates its failed keys.
 
-        If the history is lost, returns UNKNOWN instead of a commit, since the committed changes may be lost.
+        Marks the history as lost if its marker was deleted or the revision is too low. If the history is lost, returns
+        UNKNOWN instead of a commit, since the committed changes are possibly lost, and a conflict without failed keys.
         """
         if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
             self.mark_lost(f"history {self.record.name} was sealed")
--- a/spurarch/storage/rate_limits.py
+++ b/spurarch/storage/rate_limits.py
@@ -29,8 +29,8 @@
 class Urgency(enum.Enum):
     """Priority of a call: the lowest level of a token bucket, as a share of the burst, at which the call is sent.
 
-    A call whose level is below 0 may overdraw the bucket. So membership never waits behind bulk writes, nor a service
-    replica behind the starts of arrays.
+    A call whose level is below 0 is sent even if the bucket is overdrawn down to that level. So membership never waits
+    behind bulk writes, nor a service replica behind the starts of arrays.
     """
 
     MEMBERSHIP = -1.0  # membership, leadership and partition ownership
@@ -167,14 +167,21 @@
         return not self._write_queues[urgency].locked() and self._writes.level(time.monotonic()) >= urgency.value
 
     def recent_writes(self) -> RecentWrites:
-        """Returns the rate of changes since the last call, and whether this controller is backlogged."""
+        """Returns the rate of changes since the last call of this method, and whether this controller is backlogged.
+
+        Restarts the measurement of the rate.
+        """
         now = time.monotonic()
         rate = self._recent_changes / max(0.1, now - self._recent_writes_since)
         self._recent_changes, self._recent_writes_since = 0.0, now
         return RecentWrites(rate, self._writes.level(now) < BACKLOG_LEVEL)
 
     def set_shares(self, requests: float, writes: float) -> None:
-        """Sets this controller's shares, each between 0 and 1, of the published rates; logs usage at intervals."""
+        """Sets this controller's shares, each between 0 and 1, of the published rates.
+
+        To be called at regular intervals: each call also raises rates that were lowered after a refused call by one
+        step, and logs usage if `LOG_INTERVAL_S` has passed.
+        """
         now = time.monotonic()
         self._request_factor.recover()
         self._write_factor.recover()
@@ -246,7 +253,8 @@
 
     `shares` and `used` are parts of the rate, by node. A backlogged node never gets less than its own share. A lender
     keeps headroom above the rate that it used, so that it need not wait for the next exchange of loads when it becomes
-    busy. Nodes that compute this from equal arguments get shares that add up to at most one.
+    busy. If all nodes compute their shares from the same `shares`, `used` and `backlogged`, the results add up to at
+    most the sum of `shares`.
     """
     kept = {
         n: share if n in backlogged else min(share, LENDER_MIN_PART * share + LENDER_HEADROOM * used.get(n, share))
--- a/spurarch/storage/records.py
+++ b/spurarch/storage/records.py
@@ -44,8 +44,9 @@
 class JobRecord(Struct):
     """A job that is not terminal.
 
-    `submitted_at` and `cancelled_at` are wall-clock times in seconds. `submitted_at` only orders jobs. From
-    `cancelled_at`, a partition owner that receives the cancellation late computes what is left of `cancel_s`.
+    `submitted_at` and `cancelled_at` are wall-clock times in seconds. `submitted_at` orders jobs, and a job's deadline
+    and the time that it has waited are counted from it. From `cancelled_at`, a partition owner that receives the
+    cancellation late computes what is left of `cancel_s`.
     """
 
     spec: Submission
@@ -82,7 +83,10 @@
 
 
 class PartitionRecord(Struct):
-    """The owner of a partition: a controller and its process. Every change of owner increases the epoch."""
+    """The owner of a partition: a controller and its process. Every change of owner increases the epoch.
+
+    A rebuild of the records writes an empty `node`: the partition has no owner until the leader assigns one.
+    """
 
     node: str
     epoch: int
@@ -92,8 +96,8 @@
 class MemberRecord(Struct):
     """A controller that is a member of the cluster.
 
-    Workers of `isolated_zones` send heartbeats to other controllers, but none of them reach this one. The
-    `unreachable_zones` are those of its partitions whose workers no controller can reach.
+    Workers of `isolated_zones` send heartbeats to other controllers, but no heartbeat of these workers reaches this
+    member. The `unreachable_zones` are the zones of this member's partitions from which no controller gets heartbeats.
 
     `version` is the `PROGRAM_VERSION` of the process. Versions before `GANG_VERSION` neither write nor read the field.
     """
--- a/spurarch/storage/replica.py
+++ b/spurarch/storage/replica.py
@@ -1,8 +1,9 @@
 """This controller's local copy of the records in the state service, and commits of changes to them.
 
-Watches keep the copy up to date. A watch response holds every change between two revisions, so it is exact to apply the
-changes that are newer than the copy's revision, whichever of several watches responds first. `Replica.sync` brings the
-copy up to the time of the call, so it holds whatever another controller confirmed to a user before.
+Watches keep the copy up to date. A watch response holds every change between two revisions. Applying only the changes
+that are newer than the copy's revision therefore misses and repeats none, whichever of several watches responds first.
+`Replica.sync` brings the copy up to the time of the call, so that it holds everything that another controller confirmed
+to a user before that time.
 """
 
 from __future__ import annotations
@@ -75,7 +76,10 @@
                 self.state.put_encoded(item.key, item.version, item.value)
 
     async def load(self) -> None:
-        """Reads all records in use; the watch then starts at the revision of the first page."""
+        """Reads all records in use and deletes from the copy those that no longer exist in the state service.
+
+        The watch then starts at the revision of the first page. Raises `StoreUnavailableError`.
+        """
         started = time.monotonic()
         self.state.consistent_from_revision = float("inf")
         seen: set[str] = set()
@@ -99,7 +103,10 @@
         await self.notify()
 
     async def _load_seeds(self, seen: set[str]) -> int | None:
-        """Reads the records that share values; returns the revision of the first page, None without such records."""
+        """Reads the records that share values (see `spurarch.storage.seeds`) and adds their keys to `seen`.
+
+        Returns the revision of the first page; None without such records. Also makes the next read verify the marker.
+        """
         history = self.store.history
         if history is None:
             return None
@@ -210,7 +217,7 @@
     async def read_final(self, job: str) -> FinalRecord | None:
         """Returns the final record of a job, from memory or from the state service; None if there is none.
 
-        Raises `StoreUnavailableError`.
+        Keeps a record that it reads in memory. Raises `StoreUnavailableError`.
         """
         cached = self.state.finals.get(job)
         if cached is not None:
@@ -226,7 +233,7 @@
         return record
 
     async def _read_packed(self, job: str, packed_value_count: int) -> FinalRecord | None:
-        """Returns the final record of a job that ended in an earlier history, None if there is none.
+        """Reads the final record of a job that ended in an earlier history and keeps it in memory; None if none exists.
 
         `packed_value_count` is the number of keys that hold such records.
         """
@@ -253,8 +260,8 @@
     ) -> TransactionResult:
         """Commits writes if every written or guarded key still has the version that it has in the local copy.
 
-        Keys in `absent_keys` must not exist. `pinned_versions` are further guards, by key: the versions on which the
-        caller based its decision.
+        Keys in `absent_keys` must not exist. `pinned_versions` are the versions, by key, on which the caller based its
+        decision: they are guards as well, and replace the copy's versions of the same keys.
 
         After a lost response, the same transaction is sent again; whichever request is executed first makes the guards
         of the other fail. So the result is UNKNOWN only after `timeout_s` seconds (None: no limit), or if a written or
--- a/spurarch/storage/seeds.py
+++ b/spurarch/storage/seeds.py
@@ -1,9 +1,9 @@
 """Seeds: values that hold many of the records with which a rebuilt history begins.
 
 A rebuild writes one value for as many records as one transaction can later unpack. So the history opens after a few
-hundred changes instead of many thousands. Reads return such records like all others. Before one of them is written or
-guarded for the first time, one transaction unpacks its value: it writes all records of the value under their own keys
-and deletes the value.
+hundred changes instead of many thousands. A controller that loads the records treats those in seeds like all others.
+Before a record in a seed is written or guarded for the first time, one transaction unpacks the seed: it writes all
+records of the seed under their own keys and deletes the seed.
 """
 
 from __future__ import annotations
--- a/spurarch/storage/store.py
+++ b/spurarch/storage/store.py
@@ -41,8 +41,9 @@
 class Store:
     """Client of the state service.
 
-    With a `HistoryGuard`, every read and transaction is checked for signs that the service lost data, and keys are
-    translated to those of the current history. Without one, calls are sent unchanged.
+    With a `HistoryGuard`, keys are translated to those of the current history (see `spurarch.storage.history`). Pages,
+    watches, transactions and reads of missing keys are checked for signs that the service lost data. For a read of an
+    existing key, only the history's marker is verified, if that is due. Without a guard, calls are sent unchanged.
     """
 
     def __init__(
@@ -90,7 +91,8 @@
         if found.item is not None:
             found.item.key = key
             return found.item
-        # A user may get the final response that the job does not exist, so the history has to be verified as open now.
+        # The caller possibly tells a user that a job does not exist, which the user takes as final. So the history has
+        # to be verified as open now.
         history.check_revision(before, found.revision, time.monotonic())
         await self._verify(history)
         return None
@@ -160,7 +162,10 @@
         return before
 
     async def _verify(self, history: HistoryGuard) -> None:
-        """Reads the history's marker and checks that it is unchanged, so the history is still open."""
+        """Reads the history's marker and marks the history as lost if the marker has changed.
+
+        Raises `StoreUnavailableError`, which includes `HistoryClosedError`.
+        """
         marker = await self._get(history.marker)
         history.check_marker(marker.revision if marker.item is not None else 0, time.monotonic())
 
--- a/spurarch/transport/__init__.py
+++ b/spurarch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Lowest layer: connections, framing and timeouts. Independent of jobs and machines."""
+"""Network transport: sockets, HTTP, and the frame channel between controllers. Knows nothing of jobs or machines."""
--- a/spurarch/transport/http.py
+++ b/spurarch/transport/http.py
@@ -64,8 +64,9 @@
 class HttpServer:
     """Serves one address over at most `max_connections` connections.
 
-    A fleet may have more workers than a controller has sockets. When all connections are open, a new one replaces the
-    one that has been idle for longest, so that every worker is served.
+    A fleet can have more workers than a controller has sockets. When all connections are open, a new connection
+    replaces one that sent nothing for `FIRST_REQUEST_GRACE_S`, else the one that has been idle for longest, so that
+    every worker is served.
     """
 
     def __init__(self, address: str, handler: Handler, max_connections: int) -> None:
@@ -87,7 +88,8 @@
     async def _close_least_used_connection(self) -> None:
         """Closes one unused connection, if any.
 
-        Those that never sent anything are closed first, so that many of them don't displace the workers' connections.
+        A connection that sent nothing within `FIRST_REQUEST_GRACE_S` is closed first, so that many such connections
+        don't displace those of workers.
         """
         now = time.monotonic()
         unused = (connection for connection in self._connections if connection.is_first_request_overdue(now))
--- a/spurarch/transport/http_messages.py
+++ b/spurarch/transport/http_messages.py
@@ -96,7 +96,7 @@
             raise self._pending_error
 
     def next_request(self) -> Request | None:
-        """Returns the next complete request, or None."""
+        """Removes and returns the next complete request; None if there is none."""
         return self._requests.pop(0) if self._requests else None
 
     def take_continue_request(self) -> bool:
--- a/spurarch/transport/sockets.py
+++ b/spurarch/transport/sockets.py
@@ -116,7 +116,7 @@
             log.debug("connection ended error=%r", err)
         except curio.CancelledError:
             raise
-        except Exception:  # no input of a client may end the controller
+        except Exception:  # no input of a client must end the controller
             log.exception("connection handler failed")
         finally:
             self._open_count -= 1
