--- a/spurarch/recovery/service.py
+++ b/spurarch/recovery/service.py
@@ -4,7 +4,7 @@
 
 In WATCHING, no sign of data loss was detected. In CLOSED, the controller neither reads nor writes records; the one that
 acquires the claim enters REBUILDING, and returns to CLOSED if its rebuild fails. In MOVED, another history is open: the
-controller starts again in that history, as after a restart.
+controller starts again in that history, as after a restart. For histories, see `spurarch.storage.history`.
 """
 
 from __future__ import annotations
--- a/spurarch/storage/errors.py
+++ b/spurarch/storage/errors.py
@@ -14,4 +14,7 @@
 
 
 class HistoryClosedError(StoreUnavailableError):
-    """The call was rejected because the history of the records is not open, or not yet known to be open."""
+    """The call was rejected because the history of the records is not open, or not yet known to be open.
+
+    For histories, see `spurarch.storage.history`.
+    """
--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -27,9 +27,10 @@
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 HISTORY = "history/"
+# Keys of the `HistoryRecord`, of the claim on a rebuild (see `spurarch.recovery.claim`) and of the `ArchivedRecord`.
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
-OPEN, REBUILD = "history/open/", "history/rebuild/"
-PACKED = "packed/"
+OPEN, REBUILD = "history/open/", "history/rebuild/"  # prefixes of the keys of markers and of rebuilds in progress
+PACKED = "packed/"  # prefix of the keys of `PackedFinals`, under the history's prefix
 UNRESOLVED_PREFIX = "doubt/"  # unresolved job outcomes, under the history's prefix; read only by operators' commands
 UNARCHIVED_PREFIXES = (MEMBER, LEADER)  # prefixes of records that are not archived: a later history has no use for them
 MARKER_VALID_S = 2.0  # after this time without a verified response, the marker is read again before the next read
--- a/spurarch/storage/rate_limits.py
+++ b/spurarch/storage/rate_limits.py
@@ -33,10 +33,10 @@
     behind bulk writes, nor a service replica behind the starts of arrays.
     """
 
-    MEMBERSHIP = -1.0  # membership, leadership and partition ownership
-    USERS = -0.5  # requests of users
+    MEMBERSHIP = -1.0  # membership, leadership, partition ownership, and sealing and rebuilding of a history
+    USERS = -0.5  # requests of users, commands of operators and progress of the archive
     REPLICAS = -0.25  # starts of service replicas and gangs
-    STARTS = 0.0  # starts of all other tasks
+    STARTS = 0.0  # starts of all other tasks, and the default
     CLEANUP = 0.1  # clean-up of records after tasks and jobs have ended
 
 
@@ -129,7 +129,7 @@
     The published rates hold for all controllers together. Each controller takes a share by its duties: equal shares
     would starve the busiest one, and shares that add up to more than one would get calls of all controllers refused.
     The duties are derived from the records, so the shares add up to one while the local copies agree. A refused call
-    lowers this controller's rates until they have recovered.
+    lowers this controller's rates from the next call of `set_shares` on; later calls of `set_shares` raise them again.
     """
 
     def __init__(self, limits: StateLimits, controllers: int) -> None:
@@ -224,9 +224,10 @@
         self._usage.longest_wait_s = max(self._usage.longest_wait_s, time.monotonic() - started)
 
     def record_throttled(self, transaction: bool) -> None:
-        """Lowers the rates after the service refused a call because of a rate limit.
+        """Empties the bucket of requests and lowers its factor after the service refused a call by its rate limit.
 
-        The response doesn't say which rate a transaction exceeded, so a transaction lowers both.
+        The lowered factor takes effect on the rate at the next call of `set_shares`. The response doesn't say which
+        rate a transaction exceeded, so a transaction also has this effect on the bucket and the factor of changes.
         """
         log.info("state service rate limit exceeded")
         now = time.monotonic()
@@ -239,7 +240,10 @@
             self._writes.penalize(now)
 
     def record_peer_throttled(self) -> None:
-        """Lowers the rate of changes after the service refused those of a peer: all controllers share this rate."""
+        """Lowers the factor of changes after the service refused a peer's changes: all controllers share this rate.
+
+        The lowered factor takes effect at the next call of `set_shares`.
+        """
         self._write_factor.decrease()
 
 
