--- a/spurarch/storage/history.py
+++ b/spurarch/storage/history.py
@@ -6,7 +6,8 @@
 `history/open/<name>` exists while the history may be written to. Every transaction guards it, so deleting the marker
 seals the history.
 
-If recovery is disabled, the client of the state service has no `HistoryGuard`, and none of these keys is used.
+If recovery is disabled, the client of the state service has no `HistoryGuard`, no key under `history/` is used, and no
+record key has a prefix of a history.
 """
 
 from __future__ import annotations
@@ -26,9 +27,10 @@
 from spurarch.storage.transaction import TransactionResult, TransactionStatus
 
 HISTORY = "history/"
+# Keys of the `HistoryRecord`, of the claim on a rebuild (see `spurarch.recovery.claim`) and of the `ArchivedRecord`.
 CURRENT, CLAIM, ARCHIVED = "history/current", "history/claim", "history/archived"
-OPEN, REBUILD = "history/open/", "history/rebuild/"
-PACKED = "packed/"
+OPEN, REBUILD = "history/open/", "history/rebuild/"  # prefixes of the keys of markers and of rebuilds in progress
+PACKED = "packed/"  # prefix of the keys of `PackedFinals`, under the history's prefix
 UNRESOLVED_PREFIX = "doubt/"  # unresolved job outcomes, under the history's prefix; read only by operators' commands
 UNARCHIVED_PREFIXES = (MEMBER, LEADER)  # prefixes of records that are not archived: a later history has no use for them
 MARKER_VALID_S = 2.0  # after this time without a verified response, the marker is read again before the next read
@@ -67,7 +69,10 @@
 
 
 class OpenMarker(Struct):
-    """Value of the marker key, which exists while the history may be written to."""
+    """Value of the marker key, which exists while the history may be written to.
+
+    Also the value of the key under `REBUILD`, which exists while a rebuild writes the history with this number.
+    """
 
     number: int
 
@@ -205,7 +210,8 @@
     def check_marker(self, version: int, now: float) -> None:
         """Checks the revision `version` of the marker that was read, 0 if there is none.
 
-        Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless it is open.
+        Marks the history as lost if the marker was deleted or replaced. Raises `HistoryClosedError` unless the history
+        is open.
         """
         if version != self._marker_version:
             self.mark_lost(f"marker of history {self.record.name} at {version}, not {self._marker_version}")
@@ -238,7 +244,8 @@
     def check_result(self, before: int, result: TransactionResult, now: float) -> TransactionResult:
         """Checks the result of a transaction and translates its failed keys.
 
-        If the history is lost, returns UNKNOWN instead of a commit, since the committed changes may be lost.
+        Marks the history as lost if its marker was deleted or the revision is too low. If the history is lost, returns
+        UNKNOWN instead of a commit, since the committed changes are possibly lost, and a conflict without failed keys.
         """
         if result.status is TransactionStatus.CONFLICT and self.marker in result.failed_keys:
             self.mark_lost(f"history {self.record.name} was sealed")
